--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet.cpp
@@ -206,6 +206,7 @@
     if (!running_[router]) return;
     std::vector<Action> actions;
     routers_[router].handle(now_, event, actions);
+    if (observe) observe(router, now_, actions);
     for (const Action& action : actions) {
         if (const auto* timer = std::get_if<SetTimer>(&action))
             at(std::max(timer->at, now_ + 1), [this, router, token = timer->token, life = lives_[router]] {
--- a/src/emulator/fleet.h
+++ b/src/emulator/fleet.h
@@ -82,6 +82,9 @@
     std::function<bool(std::size_t router, const std::string& object)> gate;
     // Told of each request served, and how.
     std::function<void(std::size_t router, const std::string& object, nettlethread::Note)> answered;
+    // Told of each event that a router took, with the actions that came of it.
+    std::function<void(std::size_t router, Micros now, const std::vector<nettlethread::Action>& actions)>
+        observe;
     Micros now() const { return now_; }
     void origin_does(double fills_per_s) { shape_.origin_fills_per_s = fills_per_s; }
     // The work that pushes over a box that started `ago` before, sent within the window of the rule.
--- /dev/null
+++ b/tests/compatibility/routing_replay_test.cpp
@@ -0,0 +1,317 @@
+// The routing module takes the same decisions for the same events: streams of events made from seeds, and a
+// digest of all actions that came of them (the text of log lines left out). A change that only renames or
+// reshapes leaves each digest as it is. With RECORD=1 in the environment the digests are printed and not
+// judged.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <cstdio>
+#include <cstdlib>
+#include <random>
+#include <string>
+#include <variant>
+
+#include "emulator/fleet.h"
+#include "nettlethread/router.h"
+
+namespace {
+
+using namespace nettlethread;
+namespace emulator = sumackeel::emulator;
+
+// FNV-1a, 64 bits.
+class Digest {
+  public:
+    void add(const std::string& text) {
+        for (const unsigned char byte : text) value_ = (value_ ^ byte) * 0x100000001b3ULL;
+        value_ = (value_ ^ 0xff) * 0x100000001b3ULL;
+    }
+    void add(std::int64_t number) { add(std::to_string(number)); }
+    std::uint64_t value() const { return value_; }
+
+  private:
+    std::uint64_t value_ = 0xcbf29ce484222325ULL;
+};
+
+// One overload an action; each begins with a letter of its own.
+struct AddAction {
+    Digest& digest;
+    void operator()(const LookUp& a) const {
+        digest.add("L"), digest.add(a.id), digest.add(a.cache), digest.add(a.timeout);
+    }
+    void operator()(const Serve& a) const {
+        digest.add("S"), digest.add(a.id), digest.add(a.timeout), digest.add(a.cache), digest.add(a.age);
+        digest.add(a.join), digest.add(a.source_holds), digest.add(a.parent_skips), digest.add(a.renew);
+        digest.add(a.source), digest.add(a.rank);
+    }
+    void operator()(const SetTimer& a) const {
+        digest.add("T"), digest.add(a.at), digest.add(static_cast<std::int64_t>(a.token));
+    }
+    void operator()(const Refuse& a) const { digest.add("R"), digest.add(a.id), digest.add(a.come_back); }
+    void operator()(const Fail& a) const { digest.add("F"), digest.add(a.id); }
+    void operator()(const Cancel& a) const { digest.add("C"), digest.add(a.id), digest.add(a.attempt); }
+    void operator()(const TellPeer& a) const { digest.add("P"), digest.add(a.to), digest.add(a.bytes); }
+    void operator()(const WatchList& a) const { digest.add("W"), digest.add(a.on); }
+    void operator()(const FetchList&) const { digest.add("G"); }
+    void operator()(const Probe& a) const { digest.add("B"), digest.add(a.cache); }
+    void operator()(const CloseIdle& a) const { digest.add("I"), digest.add(a.cache); }
+    void operator()(const Log&) const {}
+};
+
+struct Replay {
+    Digest digest;
+    std::size_t events = 0, actions = 0;
+
+    void add(Micros now, const std::vector<Action>& taken) {
+        ++events;
+        digest.add(now);
+        for (const Action& action : taken) {
+            ++actions;
+            std::visit(AddAction{digest}, action);
+        }
+    }
+};
+
+void judge(const char* name, const Replay& replay, std::uint64_t expected, std::size_t events) {
+    if (std::getenv("RECORD"))
+        return static_cast<void>(std::printf("%s: 0x%016llx, %zu events, %zu actions\n", name,
+                                             static_cast<unsigned long long>(replay.digest.value()),
+                                             replay.events, replay.actions));
+    EXPECT_EQ(replay.events, events) << name;
+    EXPECT_EQ(replay.digest.value(), expected) << name << ": " << replay.actions << " actions";
+}
+
+emulator::Shape small(std::uint64_t seed, double asks_per_s) {
+    emulator::Shape shape;
+    shape.routers = 20, shape.zones = 5, shape.asks_per_s = asks_per_s, shape.objects = 1'500,
+    shape.seed = seed;
+    return shape;
+}
+
+void record(emulator::Fleet& fleet, Replay& replay) {
+    fleet.observe = [&replay](std::size_t router, Micros now, const std::vector<Action>& taken) {
+        replay.digest.add(static_cast<std::int64_t>(router));
+        replay.add(now, taken);
+    };
+}
+
+// Settings that differ in all that the module branches on, by the number of the stream.
+Settings settings_of(int stream) {
+    emulator::Shape shape;
+    shape.routers = 12, shape.zones = 3;
+    Settings s = emulator::settings(shape);
+    constexpr Micros kMs = 1'000;
+    ClassSettings keyed = s.classes[0], effect = s.classes[0], aging = s.classes[0];
+    keyed.semantics = Semantics::keyed, keyed.window = 900 * kMs;
+    keyed.scope = stream % 3 == 0 ? Scope::all : stream % 3 == 1 ? Scope::zone : Scope::cell;
+    effect.semantics = Semantics::unsafe, effect.uncached = true;
+    aging.fresh = 700 * kMs, aging.grace = 2'000 * kMs, aging.stale_worth = 0.5;
+    s.classes.insert(s.classes.end(), {keyed, effect, aging});
+    s.zone_hub = {0, 1, 2};
+    s.my_zone = stream % 2;
+    s.joins = stream % 4 != 1;
+    s.direct = stream % 2 == 0;
+    s.neighbours = stream % 3 == 2 ? Neighbours::own_zone : Neighbours::none;
+    s.notes = stream % 5 == 4 ? Notes::none : Notes::all;
+    s.inlet_kb_per_s = {30'000, 20'000, 40'000};
+    s.ask_for_list = stream % 2 == 1;
+    s.retry_advice = stream % 2 == 0, s.longest_advice = 800 * kMs;
+    s.origin_alone_per_s = stream % 3 == 0 ? 3 : 0;
+    s.most_tries = 2 + stream % 5;
+    s.may_cancel = stream % 3 != 0;
+    return s;
+}
+
+// One router under events by chance: arrivals, ends of each kind, lists, purges, clients that leave.
+class RandomStream {
+  public:
+    explicit RandomStream(int stream)
+        : settings_(settings_of(stream)),
+          chance_(static_cast<std::uint64_t>(stream) + 77),
+          router_(settings_, chance_()) {
+        list(ListKind::full);
+    }
+
+    void run(int events) {
+        for (int i = 0; i < events; ++i) {
+            now_ += static_cast<Micros>(below(9'000));
+            one_event();
+        }
+    }
+    Replay replay;
+
+  private:
+    struct Out {
+        std::string id, cache;
+        int attempt;
+        Micros sent;
+    };
+
+    std::uint64_t below(std::uint64_t most) { return chance_() % most; }
+
+    void handle(const Event& event) {
+        std::vector<Action> taken;
+        router_.handle(now_, event, taken);
+        replay.add(now_, taken);
+        for (const Action& action : taken) {
+            if (const auto* serve = std::get_if<Serve>(&action)) sent(serve->id, serve->cache);
+            if (const auto* look_up = std::get_if<LookUp>(&action)) sent(look_up->id, look_up->cache);
+            if (const auto* timer = std::get_if<SetTimer>(&action))
+                timers_.emplace_back(timer->at, timer->token);
+        }
+    }
+    void sent(const std::string& id, const std::string& cache) {
+        out_.push_back({id, cache, attempts_[id]++, now_});
+    }
+
+    void one_event() {
+        for (std::size_t i = 0; i < timers_.size(); ++i)
+            if (timers_[i].first <= now_) {
+                const std::uint64_t token = timers_[i].second;
+                timers_.erase(timers_.begin() + static_cast<std::ptrdiff_t>(i));
+                return handle(TimerDue{token});
+            }
+        const std::uint64_t what = below(1'000);
+        if (what < 430 || out_.empty()) return arrive();
+        if (what < 900) return end();
+        if (what < 920) return handle(ClientLeft{out_[below(out_.size())].id});
+        if (what < 935) return purge();
+        if (what < 950) return list(below(4) == 0 ? ListKind::full : ListKind::changes);
+        if (what < 955) return list(ListKind::failed);
+        if (what < 965)
+            return handle(StreamStarted{out_.front().id, out_.front().cache, out_.front().attempt, 1'000});
+        if (what < 980) return report();
+        if (what < 990) return handle(Stalled{static_cast<Micros>(below(400'000))});
+        handle(GroupNews{static_cast<int>(6 + below(12)), {4, 3, static_cast<int>(1 + below(5))}});
+    }
+
+    void arrive() {
+        Arrival arrival;
+        arrival.id = "r" + std::to_string(next_++);
+        arrival.service = static_cast<int>(below(settings_.classes.size()));
+        if (below(20) != 0) arrival.object = "o" + std::to_string(below(below(2) == 0 ? 6 : 60));
+        arrival.grace = static_cast<Micros>(200'000 + below(2'800'000));
+        if (below(10) == 0) arrival.ends_in = static_cast<Micros>(below(900'000));
+        arrival.size_kb = below(5) == 0 ? 0 : static_cast<double>(20 + below(900));
+        arrival.group = static_cast<int>(below(5));
+        arrival.part = static_cast<int>(below(3));
+        arrival.write = arrival.service == 2;
+        handle(arrival);
+    }
+
+    void end() {
+        const std::size_t place = below(out_.size());
+        const Out out = out_[place];
+        out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(place));
+        Outcome outcome;
+        outcome.id = out.id, outcome.cache = out.cache, outcome.attempt = out.attempt;
+        outcome.took = now_ - out.sent;
+        outcome.verdict = below(4) != 0 ? Verdict::served : static_cast<Verdict>(below(9));
+        outcome.ended = outcome.verdict == Verdict::served;
+        outcome.note = static_cast<Note>(below(11));
+        outcome.first_byte = static_cast<Micros>(below(300'000));
+        if (below(3) == 0)
+            outcome.load = {static_cast<double>(below(12)), static_cast<double>(below(30)) / 10};
+        handle(outcome);
+    }
+
+    void purge() {
+        handle(Purge{static_cast<int>(below(5)), static_cast<Micros>(below(500'000)),
+                     below(2) == 0 ? "o" + std::to_string(below(60)) : std::string{}});
+    }
+
+    void report() {
+        handle(ProbeAnswer{"c" + std::to_string(below(3)) + "-" + std::to_string(below(4)),
+                           Verdict::served,
+                           900,
+                           {static_cast<double>(below(9)), static_cast<double>(below(20)) / 10}});
+    }
+
+    void list(ListKind kind) {
+        ListNews news{static_cast<std::int64_t>(++version_), kind, {}};
+        const auto add = [&](const std::string& name, int zone, int place, double weight) {
+            if (kind == ListKind::changes && below(6) != 0) return;
+            CacheEntry entry{.cache = name, .weight = weight, .zone = zone, .kind = place, .cell = zone * 2};
+            if (version_ > 1 && below(5) == 0)
+                entry.state = below(2) == 0 ? CacheState::draining : CacheState::gone;
+            if (version_ > 1 && below(4) == 0) entry.since = now_ - static_cast<Micros>(below(9'000'000));
+            entry.careful = version_ > 1 && below(12) == 0;
+            news.entries.push_back(entry);
+        };
+        if (kind != ListKind::failed) {
+            for (int zone = 0; zone < 3; ++zone)
+                for (int i = 0; i < 4; ++i)
+                    add("c" + std::to_string(zone) + "-" + std::to_string(i), zone, 0, 3 + i);
+            for (int i = 0; i < 3; ++i) add("p" + std::to_string(i), i, settings_.parent_kind, 20);
+            add("origin", 0, settings_.origin_kind, 1);
+        }
+        handle(news);
+    }
+
+    Settings settings_;
+    std::mt19937_64 chance_;
+    Router router_;
+    Micros now_ = 5'000'000'000;
+    std::vector<Out> out_;
+    std::map<std::string, int> attempts_;
+    std::vector<std::pair<Micros, std::uint64_t>> timers_;
+    std::uint64_t next_ = 0;
+    int version_ = 0;
+};
+
+}  // namespace
+
+TEST(RoutingReplay, QuietFleet) {
+    emulator::Fleet fleet(small(1, 300));
+    Replay replay;
+    record(fleet, replay);
+    fleet.run_for(12 * emulator::kSecond);
+    judge("quiet", replay, 0x737a615198b33391, 7268);
+}
+
+TEST(RoutingReplay, FleetWithPurgeRestartsLossesAndReturn) {
+    emulator::Fleet fleet(small(2, 500));
+    Replay replay;
+    record(fleet, replay);
+    fleet.run_for(4 * emulator::kSecond);
+    fleet.purge_all();
+    fleet.run_for(2 * emulator::kSecond);
+    fleet.restart({"c0-0", "c1-1", "p0"});
+    fleet.run_for(3 * emulator::kSecond);
+    fleet.lose({"c2-0", "c2-1", "c2-2", "c2-3", "p1"});
+    fleet.run_for(4 * emulator::kSecond);
+    fleet.come_back({"c2-0", "c2-1", "c2-2", "c2-3", "p1"});
+    fleet.run_for(4 * emulator::kSecond);
+    judge("faulty", replay, 0xebe699c55cc67c9d, 17164);
+}
+
+TEST(RoutingReplay, OverloadedOriginAndFleetAfterPowerLoss) {
+    emulator::Shape shape = small(3, 1'500);
+    shape.origin_fills_per_s = 120, shape.origin_bears = 2 * emulator::kSecond;
+    emulator::Fleet fleet(shape);
+    Replay replay;
+    record(fleet, replay);
+    fleet.run_for(4 * emulator::kSecond);
+    fleet.origin_does(60);
+    fleet.purge_all();
+    fleet.run_for(4 * emulator::kSecond);
+    fleet.power_off();
+    fleet.run_for(emulator::kSecond);
+    fleet.power_back();
+    for (std::size_t i = 0; i < 20; ++i) fleet.start(i);
+    fleet.run_for(4 * emulator::kSecond);
+    judge("overloaded", replay, 0x2003fbd2b5722e79, 24473);
+}
+
+TEST(RoutingReplay, EventsByChanceUnderUnlikeSettings) {
+    constexpr std::uint64_t kExpected[] = {0x87034c40063d7352, 0x9cfab603ba09de88, 0x63b4c529de390a3e,
+                                           0xa5ab09b26a355348, 0x1abbe7f861670147, 0xa50d34903882e9ee,
+                                           0x273937230d21c8a1, 0x660ab02203bac8ec, 0xfbd93c7c24b97288,
+                                           0xf7c6c3d2f7fab3d0, 0x9bde51eab5cf95f6, 0xb8a544a0e21d637e};
+    constexpr int kEvents = 6'000;
+    for (int stream = 0; stream < 12; ++stream) {
+        RandomStream events(stream);
+        events.run(kEvents);
+        judge(("stream " + std::to_string(stream)).c_str(), events.replay, kExpected[stream], kEvents + 1);
+    }
+}
