--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 	cmake --build build -j$(JOBS)
 
 test:
-	cmake -B build-test -DNETTLETHREAD_TESTS=ON -DCMAKE_BUILD_TYPE=Debug
+	cmake -B build-test -DSUMACKEEL_TESTS=ON -DCMAKE_BUILD_TYPE=Debug
 	cmake --build build-test -j$(JOBS)
 	red=$$(tests/known_red.sh .) && \
 	ctest --test-dir build-test --output-on-failure -LE '^(fleet|waits)$$' -E "$$red" && \
--- a/bench/group.cpp
+++ b/bench/cluster.cpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "group/virtual_net.h"
+#include "cluster/virtual_network.h"
 
-using namespace sumackeel::group;
+using namespace sumackeel::cluster;
 
 namespace {
 
@@ -23,10 +23,10 @@
     return all[std::min(all.size() - 1, static_cast<std::size_t>(share * static_cast<double>(all.size())))];
 }
 
-NetOptions net_options(int members, bool lifeguard, double loss, std::uint64_t seed) {
-    NetOptions options{
-        .members = members, .group = {}, .seed = seed, .loss = loss, .delay = 2'000, .jitter = 4'000};
-    options.group.lifeguard = lifeguard;
+VirtualNetworkOptions net_options(int members, bool lifeguard, double loss, std::uint64_t seed) {
+    VirtualNetworkOptions options{
+        .members = members, .membership = {}, .seed = seed, .loss = loss, .delay = 2'000, .jitter = 4'000};
+    options.membership.lifeguard = lifeguard;
     return options;
 }
 
@@ -38,16 +38,16 @@
 void detect(int members, int runs) {
     for (const bool lifeguard : {true, false})
         for (const double loss : {0.0, 0.1, 0.3}) {
-            VirtualNet net(net_options(members, lifeguard, loss, 11));
+            VirtualNetwork net(net_options(members, lifeguard, loss, 11));
             net.run_until(20 * kSecond);
             std::vector<double> first, last;
             int unknown = 0;
             for (int run = 0; run < runs; ++run) {
                 const int victim = 1 + run % (members - 1);
-                const std::string name = VirtualNet::name_of(victim);
+                const std::string name = VirtualNetwork::name_of(victim);
                 const Micros killed = net.now();
                 Micros first_at = 0, last_at = 0;
-                net.on_change = [&](int, const Change& change) {
+                net.on_change = [&](int, const MemberChange& change) {
                     if (change.member != name || change.to != State::dead) return;
                     if (first_at == 0) first_at = net.now();
                     last_at = net.now();
@@ -80,9 +80,9 @@
         for (const double loss : {0.0, 0.1, 0.3})
             for (const bool lifeguard : {true, false}) {
                 if (paused && loss > 0) continue;
-                VirtualNet net(net_options(members, lifeguard, loss, 5));
+                VirtualNetwork net(net_options(members, lifeguard, loss, 5));
                 long deaths = 0;
-                net.on_change = [&](int, const Change& change) { deaths += change.to == State::dead; };
+                net.on_change = [&](int, const MemberChange& change) { deaths += change.to == State::dead; };
                 int next = 0;
                 for (int at = 0; at < seconds; at += 10) {
                     std::vector<int> some;
@@ -105,7 +105,7 @@
     for (const bool lifeguard : {true, false}) {
         std::vector<double> none_dead, all_alive;
         for (int run = 0; run < runs; ++run) {
-            VirtualNet net(net_options(members, lifeguard, 0, 100 + static_cast<std::uint64_t>(run)));
+            VirtualNetwork net(net_options(members, lifeguard, 0, 100 + static_cast<std::uint64_t>(run)));
             net.run_until(20 * kSecond);
             for (int a = 0; a < members / 2; ++a)
                 for (int b = members / 2; b < members; ++b) net.cut(a, b), net.cut(b, a);
@@ -133,7 +133,7 @@
 void cost(int members, int seconds) {
     for (const bool lifeguard : {true, false})
         for (const double loss : {0.0, 0.1}) {
-            VirtualNet net(net_options(members, lifeguard, loss, 3));
+            VirtualNetwork net(net_options(members, lifeguard, loss, 3));
             const int warm = 60 + members / 2;
             net.run_until(warm * kSecond);
             std::uint64_t before = 0, after = 0;
--- a/bench/large_fleet.cpp
+++ b/bench/large_fleet.cpp
@@ -7,16 +7,16 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "emulator/fleet.h"
+#include "emulator/fleet_emulator.h"
 
 using namespace sumackeel::emulator;
 
 namespace {
 
 void lose_parents(int routers) {
-    Shape shape;
+    FleetOptions shape;
     shape.routers = routers;
-    Fleet fleet(shape);
+    FleetEmulator fleet(shape);
     fleet.run_for(10 * kSecond);
     const std::vector<std::string> lost{"p0", "p1"};
     fleet.totals = {};
@@ -32,7 +32,7 @@
     std::printf(" | %5.1f%% |", 100.0 * fleet.totals.in_time / std::max(1, fleet.totals.asked));
     fleet.come_back(lost);
     fleet.totals = {};
-    const Micros window = fleet.set().overload_for, returned = fleet.now();
+    const Micros window = fleet.set().overload_window, returned = fleet.now();
     int back = -1;
     double most = 0;
     for (int s = 0; s < 30 && back < 0; ++s) {
@@ -52,22 +52,22 @@
     std::printf("%8s %8s %8s %8s %10s %10s\n", "routers", "asked", "served", "in time", "at origin",
                 "cold most");
     for (const int routers : {4, 15, 100, 300, 1'000}) {
-        Shape shape;
+        FleetOptions shape;
         shape.routers = routers;
-        Fleet purged(shape);
+        FleetEmulator purged(shape);
         purged.run_for(8 * kSecond);
         purged.origin_does(150);
         purged.totals = {};
         purged.purge_all();
         purged.run_for(8 * kSecond);
 
-        Fleet cold(shape);
+        FleetEmulator cold(shape);
         cold.run_for(4 * kSecond);
         std::vector<std::string> boxes{"p0", "p1"};
-        for (int zone = 0; zone < 9; ++zone) boxes.push_back(Fleet::box(zone, 1));
+        for (int zone = 0; zone < 9; ++zone) boxes.push_back(FleetEmulator::box(zone, 1));
         cold.restart(boxes);
         cold.totals = {};
-        const Micros window = cold.set().overload_for;
+        const Micros window = cold.set().overload_window;
         cold.run_for(window);
         double most = 0;
         for (const std::string& box : boxes)
--- a/bench/power_loss.cpp
+++ b/bench/power_loss.cpp
@@ -13,9 +13,9 @@
 #include <fstream>
 #include <random>
 
-#include "emulator/fleet.h"
-#include "recovery/budget.h"
-#include "recovery/ladder.h"
+#include "emulator/fleet_emulator.h"
+#include "recovery/fill_budget.h"
+#include "recovery/recovery_phases.h"
 
 using namespace sumackeel::emulator;
 namespace recovery = sumackeel::recovery;
@@ -28,59 +28,60 @@
 
 // The ladders of all routers, which ask each other over no wire at all.
 struct Ladders {
-    Fleet& fleet;
+    FleetEmulator& fleet;
     std::mt19937_64 chance{7};
-    std::vector<recovery::Ladder> ladders;
-    std::vector<recovery::Budget> budgets;
+    std::vector<recovery::RecoveryPhases> ladders;
+    std::vector<recovery::FillBudget> budgets;
     std::vector<std::size_t> up;
 
-    Ladders(Fleet& f, std::size_t routers) : fleet(f) {
+    Ladders(FleetEmulator& f, std::size_t routers) : fleet(f) {
         for (std::size_t i = 0; i < routers; ++i) {
-            ladders.emplace_back(recovery::Options{}, fleet.now());
+            ladders.emplace_back(recovery::PhaseOptions{}, fleet.now());
             budgets.emplace_back(kBudget, kHubs, std::vector<double>{1}, i);
         }
     }
     void start(std::size_t i) {
-        ladders[i] = recovery::Ladder(recovery::Options{}, fleet.now());
-        ladders[i].read(fleet.now(), ladders.size());
+        ladders[i] = recovery::RecoveryPhases(recovery::PhaseOptions{}, fleet.now());
+        ladders[i].on_state_read(fleet.now(), ladders.size());
         up.push_back(i);
     }
     void step(bool listed) {
         for (const std::size_t i : up) {
-            recovery::Ladder& own = ladders[i];
-            own.counted(fleet.now(), up.size());
-            if (listed) own.listed(fleet.now());
-            for (int asked = 0; asked < 3 && own.stage() < recovery::Stage::priming; ++asked) {
+            recovery::RecoveryPhases& own = ladders[i];
+            own.on_member_count(fleet.now(), up.size());
+            if (listed) own.on_endpoints_confirmed(fleet.now());
+            for (int asked = 0; asked < 3 && own.phase() < recovery::Phase::priming; ++asked) {
                 const std::size_t other = up[chance() % up.size()];
                 if (other == i) continue;
-                own.answered(fleet.now(), {std::to_string(other), ladders[other].stage(),
-                                           ladders[other].living(up.size()), ladders[other].sure()});
+                own.on_report(fleet.now(),
+                              {std::to_string(other), ladders[other].phase(),
+                               ladders[other].serving_fleet(up.size()), ladders[other].purges_confirmed()});
             }
             own.tick(fleet.now());
         }
     }
     bool admits(std::size_t i, const std::string& object) {
-        recovery::Ladder& own = ladders[i];
-        if (own.stage() == recovery::Stage::serving) return true;
-        const Micros primed = own.stage() == recovery::Stage::priming ? fleet.now() - own.since() : -1;
+        recovery::RecoveryPhases& own = ladders[i];
+        if (own.phase() == recovery::Phase::serving) return true;
+        const Micros primed = own.phase() == recovery::Phase::priming ? fleet.now() - own.since() : -1;
         const double back = static_cast<double>(up.size()),
                      missing = static_cast<double>(ladders.size()) - back;
         const double share = back + missing * std::clamp(2 - static_cast<double>(primed) / 15e6, 0.0, 1.0);
-        const auto away = budgets[i].turn_away(
-            fleet.now(), {.key = std::hash<std::string>{}(object), .worth = 1, .size_kb = 200}, share, primed,
-            own.latest() - fleet.now());
-        if (away) own.turned_away(fleet.now());
+        const auto away = budgets[i].admit(
+            fleet.now(), {.key = std::hash<std::string>{}(object), .priority_weight = 1, .size_kb = 200},
+            share, primed, own.deadline() - fleet.now());
+        if (away) own.on_rejected(fleet.now());
         return !away;
     }
 };
 
 std::vector<double> play(int routers, bool with, bool print) {
-    Shape shape;
+    FleetOptions shape;
     shape.routers = routers;
     shape.origin_fills_per_s = kOriginFills;
     shape.asks_per_s = kAsks;
     shape.origin_bears = static_cast<Micros>(kBears * 1e6);
-    Fleet fleet(shape);
+    FleetEmulator fleet(shape);
     fleet.run_for(15 * kSecond);
     fleet.totals = {};
     fleet.run_for(5 * kSecond);
@@ -88,12 +89,13 @@
     Ladders all(fleet, static_cast<std::size_t>(routers));
     if (with) {
         fleet.ready = [&](std::size_t i) { return all.ladders[i].ready(); };
-        fleet.answered = [&](std::size_t i, const std::string& object, nettlethread::Note note) {
-            using nettlethread::Note;
-            all.budgets[i].ended(std::hash<std::string>{}(object),
-                                 note == Note::filled_by_origin ? recovery::Took::origin
-                                 : note == Note::filled         ? recovery::Took::hub
-                                                                : recovery::Took::nothing);
+        fleet.answered = [&](std::size_t i, const std::string& object, sumackeel::routing::CacheStatus note) {
+            using sumackeel::routing::CacheStatus;
+            all.budgets[i].on_request_finished(std::hash<std::string>{}(object),
+                                               note == CacheStatus::filled_by_origin
+                                                   ? recovery::FillSource::origin
+                                               : note == CacheStatus::filled ? recovery::FillSource::hub
+                                                                             : recovery::FillSource::none);
         };
         fleet.gate = [&](std::size_t i, const std::string& object) { return all.admits(i, object); };
     }
@@ -127,7 +129,7 @@
         if (most < 0 && have >= 0.9) most = at;
         if (nearly < 0 && have >= 0.99) nearly = at;
     }
-    const Micros window = fleet.set().overload_for;
+    const Micros window = fleet.set().overload_window;
     for (int i = 0; i < shape.parents; ++i) {
         const std::string parent = "p" + std::to_string(i);
         // Against what it can bear at that moment: a cold one grows.
--- a/src/ops/drain.h
+++ b/src/admin/drain_schedule.h
@@ -10,20 +10,20 @@
 
 #include "base/time.h"
 
-namespace sumackeel::ops {
+namespace sumackeel::admin {
 
 using base::Micros;
 
 enum class DrainStage {
-    none,      // no drain
-    serving,   // requests are served; connections end whenever nothing is open on them
-    refusing,  // new requests are refused, those open go on
-    closing,   // the same, and what is open beside refused requests is to have its answer now
-    forcing    // connections end with nothing open, whatever is still being sent on them
+    none,       // no drain
+    serving,    // requests are served; connections end whenever nothing is open on them
+    rejecting,  // new requests are refused, those open go on
+    closing,    // the same, and what is open beside refused requests is to have its answer now
+    forcing     // connections end with nothing open, whatever is still being sent on them
 };
 
 // The operators' page: 4 s after the yes no connection is held that is idle or had a request in the last 2 s.
-class Drain {
+class DrainSchedule {
   public:
     // All since the drain began, which is no later than the yes.
     static constexpr Micros kServing = 2'000'000;
@@ -36,41 +36,41 @@
     // once does not do so hundreds of times: for this part of the time its client gives it, within the bound.
     static constexpr Micros kHoldPart = 4, kHoldMost = 500'000;
 
-    Drain() = default;
-    explicit Drain(Micros began) : began_(began) {}
+    DrainSchedule() = default;
+    explicit DrainSchedule(Micros began) : began_(began) {}
 
-    bool on() const { return began_.has_value(); }
+    bool is_active() const { return began_.has_value(); }
     Micros age(Micros now) const { return began_ ? std::max<Micros>(0, now - *began_) : 0; }
 
     DrainStage stage(Micros now) const {
         if (!began_) return DrainStage::none;
         const Micros since = now - *began_;
         if (since < kServing) return DrainStage::serving;
-        if (since < kAnswered) return DrainStage::refusing;
+        if (since < kAnswered) return DrainStage::rejecting;
         return since < kForced ? DrainStage::closing : DrainStage::forcing;
     }
-    bool refuses(Micros now) const { return stage(now) >= DrainStage::refusing; }
+    bool rejects_new_requests(Micros now) const { return stage(now) >= DrainStage::rejecting; }
 
     // When a request that shares its connection with a refused one is to have its answer.
-    Micros answer_by(Micros now) const { return std::max(now, began_.value_or(now) + kAnswered); }
+    Micros response_deadline(Micros now) const { return std::max(now, began_.value_or(now) + kAnswered); }
 
     // When a request that came at `now`, to be refused, has its refusal at the latest. `left`: until its
     // client gives up.
-    Micros refuse_by(Micros now, Micros left) const {
+    Micros rejection_deadline(Micros now, Micros left) const {
         const Micros held = now + std::min(left / kHoldPart, kHoldMost);
-        return std::max(now, std::min(held, answer_by(now)));
+        return std::max(now, std::min(held, response_deadline(now)));
     }
 
     // How long a client may be silent, or in the middle of a request, where `usual` is borne otherwise.
-    Micros patience(Micros usual, Micros now) const {
+    Micros timeout(Micros usual, Micros now) const {
         if (!began_) return usual;
         return std::min(usual, stage(now) >= DrainStage::closing ? kLateSilence : kSilence);
     }
 
-    bool operator==(const Drain&) const = default;
+    bool operator==(const DrainSchedule&) const = default;
 
   private:
     std::optional<Micros> began_;
 };
 
-}  // namespace sumackeel::ops
+}  // namespace sumackeel::admin
--- /dev/null
+++ b/src/admin/state.cpp
@@ -0,0 +1,155 @@
+#include "admin/state.h"
+
+#include <algorithm>
+#include <cctype>
+#include <charconv>
+#include <vector>
+
+#define XXH_INLINE_ALL
+#include <fmt/format.h>
+#include <xxhash.h>
+
+namespace sumackeel::admin {
+
+namespace {
+
+constexpr std::string_view kFirst = "sumackeel ops hand-over ";
+constexpr std::string_view kSum = "sum ";
+// The file of kMostBans ids of the longest kind, with room for the lines round them.
+constexpr std::size_t kLongestText = kMaxBans * (kMaxIdLength + 5) + 4096;
+
+std::vector<std::string_view> lines_of(std::string_view text) {
+    std::vector<std::string_view> lines;
+    while (!text.empty()) {
+        const auto end = text.find('\n');
+        if (end == std::string_view::npos) {
+            lines.push_back(text);  // no end of line: torn, found by the caller
+            break;
+        }
+        lines.push_back(text.substr(0, end));
+        text.remove_prefix(end + 1);
+    }
+    return lines;
+}
+
+std::string sum_of(std::string_view body) {
+    return fmt::format("{:016x}", XXH3_64bits(body.data(), body.size()));
+}
+
+}  // namespace
+
+const char* name_of(ProcessPhase phase) {
+    switch (phase) {
+        case ProcessPhase::starting:
+            return "starting";
+        case ProcessPhase::serving:
+            return "serving";
+        case ProcessPhase::draining:
+            return "draining";
+        case ProcessPhase::shutting_down:
+            return "ending";
+    }
+    return "?";
+}
+
+bool is_valid_id(std::string_view id) {
+    return !id.empty() && id.size() <= kMaxIdLength && std::all_of(id.begin(), id.end(), [](unsigned char c) {
+        return std::isalnum(c) || c == '-' || c == '.' || c == '_';
+    });
+}
+
+void State::on_started() {
+    if (phase_ == ProcessPhase::starting)
+        phase_ = drain_requested_ ? ProcessPhase::draining : ProcessPhase::serving;
+}
+
+ChangeResult State::start_drain() {
+    if (phase_ == ProcessPhase::shutting_down) return ChangeResult::rejected;
+    drain_requested_ = true;
+    if (phase_ == ProcessPhase::serving) phase_ = ProcessPhase::draining;
+    return ChangeResult::accepted;
+}
+
+ChangeResult State::stop_drain() {
+    if (phase_ == ProcessPhase::shutting_down) return ChangeResult::rejected;
+    drain_requested_ = false;
+    if (phase_ == ProcessPhase::draining) phase_ = ProcessPhase::serving;
+    return ChangeResult::accepted;
+}
+
+void State::on_shutdown() {
+    phase_ = ProcessPhase::shutting_down;
+}
+
+ChangeResult State::ban(std::string_view id, bool listed) {
+    if (!is_valid_id(id)) return ChangeResult::unknown;
+    const std::string key(id);
+    if (bans_.contains(key)) return ChangeResult::accepted;  // a call repeated
+    if (!listed) return ChangeResult::unknown;
+    if (bans_.size() >= kMaxBans) return ChangeResult::rejected;
+    bans_.insert(key);
+    return ChangeResult::accepted;
+}
+
+ChangeResult State::unban(std::string_view id, bool listed) {
+    if (!is_valid_id(id)) return ChangeResult::unknown;
+    if (bans_.erase(std::string(id)) > 0 || listed) return ChangeResult::accepted;
+    return ChangeResult::unknown;
+}
+
+std::string State::encode() const {
+    std::string body =
+        fmt::format("{}{}\ndrain {}\n", kFirst, kStateVersion, drain_requested_ ? "on" : "off");
+    for (const std::string& id : bans_) body += fmt::format("down {}\n", id);
+    return body + std::string(kSum) + sum_of(body) + "\n";
+}
+
+void State::adopt(const State& old) {
+    for (const std::string& id : old.bans_)
+        if (bans_.size() < kMaxBans) bans_.insert(id);
+    if (old.drain_requested_) start_drain();
+}
+
+void State::apply_difference(const State& before, const State& after) {
+    for (const std::string& id : after.bans_)
+        if (!before.bans_.contains(id) && bans_.size() < kMaxBans) bans_.insert(id);
+    for (const std::string& id : before.bans_)
+        if (!after.bans_.contains(id)) bans_.erase(id);
+    if (before.drain_requested_ != after.drain_requested_)
+        after.drain_requested_ ? start_drain() : stop_drain();
+}
+
+DecodedState decode_state(std::string_view text) {
+    const auto fault = [](std::string why) { return DecodedState{std::nullopt, std::move(why)}; };
+    if (text.size() > kLongestText) return fault("too long");
+    if (text.empty() || text.back() != '\n') return fault("torn: no end of line at its end");
+    const auto lines = lines_of(text);
+    if (!lines.front().starts_with(kFirst)) return fault("not a hand-over file of this program");
+    int version = 0;
+    const std::string_view number = lines.front().substr(kFirst.size());
+    const auto read = std::from_chars(number.data(), number.data() + number.size(), version);
+    if (read.ec != std::errc{} || read.ptr != number.data() + number.size()) return fault("no version");
+    if (version != kStateVersion)
+        return fault(fmt::format("version {}, this program reads {}", version, kStateVersion));
+    const std::string_view last = lines.back();
+    const std::size_t body_size = text.size() - last.size() - 1;
+    if (!last.starts_with(kSum) || last.substr(kSum.size()) != sum_of(text.substr(0, body_size)))
+        return fault("its checksum does not hold");
+    State board;
+    for (std::size_t i = 1; i + 1 < lines.size(); ++i) {
+        const std::string_view line = lines[i];
+        if (line == "drain on") {
+            board.drain_requested_ = true;
+        } else if (line == "drain off") {
+            board.drain_requested_ = false;
+        } else if (line.starts_with("down ") && is_valid_id(line.substr(5))) {
+            if (board.bans_.size() >= kMaxBans) return fault("more bans than there is room for");
+            board.bans_.emplace(line.substr(5));
+        } else {
+            return fault(fmt::format("line {} can't be read", i + 1));
+        }
+    }
+    return {std::move(board), {}};
+}
+
+}  // namespace sumackeel::admin
--- a/src/front_ops/front.cpp
+++ b/src/admin_server/admin_server.cpp
@@ -1,9 +1,9 @@
-#include "front_ops/front.h"
+#include "admin_server/admin_server.h"
 
 #include <fmt/format.h>
 #include <http_parser.h>
 
-namespace sumackeel::front_ops {
+namespace sumackeel::admin_server {
 
 namespace {
 
@@ -13,8 +13,8 @@
 constexpr base::Micros kQueue = 400'000;
 constexpr int kBacklog = 4096;
 
-net::Place place_of(const std::string& listen) {
-    net::Place place(listen);
+net::ListenAddress place_of(const std::string& listen) {
+    net::ListenAddress place(listen);
     place.backlog = kBacklog;
     return place;
 }
@@ -40,7 +40,7 @@
     }
 }
 
-std::string written(const ops::Reply& reply) {
+std::string written(const admin::ApiReply& reply) {
     return fmt::format(
         "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{}",
         reply.status, title(reply.status), reply.body.size(), reply.body);
@@ -48,14 +48,14 @@
 
 }  // namespace
 
-struct Front::Caller : net::Guest {
-    Front& front;
+struct AdminServer::Caller : net::ClientConnection {
+    AdminServer& front;
     http_parser parser{};
     std::string url, body;
     std::size_t read = 0;
     bool whole = false, answered = false;
 
-    explicit Caller(Front& owner) : front(owner) {
+    explicit Caller(AdminServer& owner) : front(owner) {
         http_parser_init(&parser, HTTP_REQUEST);
         parser.data = this;
     }
@@ -82,38 +82,41 @@
         return settings;
     }
 
-    void received(net::Stream& stream, std::string_view bytes) override {
+    void on_data(net::Stream& stream, std::string_view bytes) override {
         if (answered) return;  // one call a connection: what follows it is not read
         if ((read += bytes.size()) > front.longest_call_)
             return answer(stream, {431, "the call is too long\n"});
         http_parser_execute(&parser, &calls(), bytes.data(), bytes.size());
         const auto fault = HTTP_PARSER_ERRNO(&parser);
         if (fault != HPE_OK && fault != HPE_PAUSED) return answer(stream, {400, "the call can't be read\n"});
-        if (!whole) return front.door_.now(*this, net::Doing::sending);
-        const ops::Call call{http_method_str(static_cast<http_method>(parser.method)), url, body};
+        if (!whole) return front.connection_manager_.set_state(*this, net::ConnectionState::receiving);
+        const admin::ApiCall call{http_method_str(static_cast<http_method>(parser.method)), url, body};
         answered = true;
-        front.door_.now(*this, net::Doing::busy);  // no longer one to let go for room
-        const auto reply = front.taker_(call, [owner = &front, me = number()](const ops::Reply& late) {
-            auto* caller = static_cast<Caller*>(owner->door_.find(me));
+        front.connection_manager_.set_state(
+            *this, net::ConnectionState::processing);  // no longer one to let go for room
+        const auto reply = front.taker_(call, [owner = &front, me = id()](const admin::ApiReply& late) {
+            auto* caller = static_cast<Caller*>(owner->connection_manager_.find(me));
             if (caller && caller->stream()) caller->answer(*caller->stream(), late);
         });
         if (reply) answer(stream, *reply);
     }
 
-    void answer(net::Stream& stream, const ops::Reply& reply) {
+    void answer(net::Stream& stream, const admin::ApiReply& reply) {
         answered = true;
         stream.write(written(reply));
-        front.door_.part(*this);
+        front.connection_manager_.close(*this);
     }
 
-    void left() override {}
+    void on_closed() override {}
 };
 
-Front::Front(net::Loop& loop, const std::string& listen, Taker taker, std::size_t longest_call)
+AdminServer::AdminServer(net::Loop& loop, const std::string& listen, CallHandler taker,
+                         std::size_t longest_call)
     : taker_(std::move(taker)),
       longest_call_(longest_call),
-      door_(loop, place_of(listen), kPlaces,
-            {.request = kPatience, .idle = kPatience, .reading = kPatience, .queue = kQueue},
-            [this] { return std::make_unique<Caller>(*this); }) {}
+      connection_manager_(
+          loop, place_of(listen), kMaxConnections,
+          {.request = kPatience, .idle = kPatience, .write = kPatience, .accept_queue = kQueue},
+          [this] { return std::make_unique<Caller>(*this); }) {}
 
-}  // namespace sumackeel::front_ops
+}  // namespace sumackeel::admin_server
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -51,12 +51,12 @@
 
     // The process is due to run again at `at`; nothing: it waits for events alone. A reading that comes much
     // later shows that it stood still: it was stopped, or one turn of its loop took too long.
-    void expect(std::optional<Micros> at) { due_ = at; }
+    void expect_wakeup(std::optional<Micros> at) { due_ = at; }
     // For how long the process stood still in all since its start.
-    Micros stalled() const { return stalled_; }
+    Micros total_stall_time() const { return stalled_; }
 
     // For test builds: the system's wall clock is read as so far off from now on, in all of the process.
-    static void set_off(Micros by) { off_ = by; }
+    static void set_wall_offset(Micros by) { off_ = by; }
 
   private:
     static constexpr Micros kStep = 1'000'000;  // the wall clock may slew by less than this
--- a/src/base/files.cpp
+++ b/src/base/files.cpp
@@ -13,12 +13,13 @@
 
 namespace sumackeel::base {
 
-File::File(const std::string& path, int flags) : fd_(::open(path.c_str(), flags | O_CLOEXEC, 0600)) {}
-File::~File() {
+FileDescriptor::FileDescriptor(const std::string& path, int flags)
+    : fd_(::open(path.c_str(), flags | O_CLOEXEC, 0600)) {}
+FileDescriptor::~FileDescriptor() {
     if (fd_ >= 0) ::close(fd_);
 }
 
-std::string failed(const char* what, const std::string& path) {
+std::string system_call_error(const char* what, const std::string& path) {
     return fmt::format("{} {}: {}", path, what, std::strerror(errno));
 }
 
@@ -48,40 +49,41 @@
 }
 #endif
 
-std::string put_in_place(const std::string& folder, const std::string& unfinished, const std::string& final,
+std::string replace_file(const std::string& folder, const std::string& unfinished, const std::string& final,
                          std::string_view bytes) {
     const std::string from = folder + '/' + unfinished, to = folder + '/' + final;
     std::error_code ignored;
     std::filesystem::create_directories(folder, ignored);
     {
-        const File file(from, O_WRONLY | O_CREAT | O_TRUNC);
-        if (!file.open()) return failed("can't be made", from);
+        const FileDescriptor file(from, O_WRONLY | O_CREAT | O_TRUNC);
+        if (!file.is_open()) return system_call_error("can't be made", from);
         crash_point();
-        if (!write_all(file.fd(), bytes)) return failed("can't be written", from);
+        if (!write_all(file.fd(), bytes)) return system_call_error("can't be written", from);
         crash_point();
-        if (::fsync(file.fd()) != 0) return failed("can't be put on disk", from);
+        if (::fsync(file.fd()) != 0) return system_call_error("can't be put on disk", from);
         crash_point();
     }
-    if (::rename(from.c_str(), to.c_str()) != 0) return failed("can't be renamed", from);
+    if (::rename(from.c_str(), to.c_str()) != 0) return system_call_error("can't be renamed", from);
     crash_point();
-    const File all(folder, O_RDONLY | O_DIRECTORY);
-    if (!all.open() || ::fsync(all.fd()) != 0) return failed("can't be put on disk", folder);
+    const FileDescriptor all(folder, O_RDONLY | O_DIRECTORY);
+    if (!all.is_open() || ::fsync(all.fd()) != 0) return system_call_error("can't be put on disk", folder);
     return {};
 }
 
-Reading read_plain(const std::string& path, std::size_t most, std::string& bytes, std::string& fault) {
-    const File file(path, O_RDONLY | O_NONBLOCK);  // a pipe by that name must not hold us
-    const bool missing = !file.open() && errno == ENOENT;
+ReadStatus read_regular_file(const std::string& path, std::size_t most, std::string& bytes,
+                             std::string& fault) {
+    const FileDescriptor file(path, O_RDONLY | O_NONBLOCK);  // a pipe by that name must not hold us
+    const bool missing = !file.is_open() && errno == ENOENT;
     struct stat about {};
-    if (!file.open() || ::fstat(file.fd(), &about) != 0) {
-        fault = failed("can't be opened", path);
-        return missing ? Reading::missing : Reading::unreadable;
+    if (!file.is_open() || ::fstat(file.fd(), &about) != 0) {
+        fault = system_call_error("can't be opened", path);
+        return missing ? ReadStatus::missing : ReadStatus::unreadable;
     }
     const auto size = static_cast<std::size_t>(about.st_size);
     if (!S_ISREG(about.st_mode) || size > most) {
         fault = S_ISREG(about.st_mode) ? fmt::format("{} has {} bytes, {} at the most", path, size, most)
                                        : path + " is no plain file";
-        return Reading::unfit;
+        return ReadStatus::not_regular;
     }
     bytes.resize(size);
     std::size_t have = 0;
@@ -89,19 +91,19 @@
         const ssize_t got = ::read(file.fd(), bytes.data() + have, size - have);
         if (got < 0 && errno == EINTR) continue;
         if (got < 0) {
-            fault = failed("can't be read", path);
-            return Reading::unreadable;
+            fault = system_call_error("can't be read", path);
+            return ReadStatus::unreadable;
         }
         if (got == 0) break;
         have += static_cast<std::size_t>(got);
     }
     bytes.resize(have);
-    return Reading::done;
+    return ReadStatus::ok;
 }
 
-int read_all(const std::string& path, std::size_t most, std::string& text) {
-    const File file(path, O_RDONLY);
-    if (!file.open()) return errno;
+int read_entire_file(const std::string& path, std::size_t most, std::string& text) {
+    const FileDescriptor file(path, O_RDONLY);
+    if (!file.is_open()) return errno;
     std::string room(65536, '\0');
     text.clear();
     for (;;) {
@@ -114,18 +116,18 @@
     }
 }
 
-FolderLock::FolderLock(const std::string& folder, const char* name) {
+DirectoryLock::DirectoryLock(const std::string& folder, const char* name) {
     std::error_code ignored;
     std::filesystem::create_directories(folder, ignored);
     const std::string path = folder + '/' + name;
     fd_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (fd_ < 0)
-        fault_ = failed("can't be opened", path);
+        error_ = system_call_error("can't be opened", path);
     else if (::flock(fd_, LOCK_EX | LOCK_NB) != 0)
-        fault_ = path + " is held by another program";
+        error_ = path + " is held by another program";
 }
 
-FolderLock::~FolderLock() {
+DirectoryLock::~DirectoryLock() {
     if (fd_ >= 0) ::close(fd_);
 }
 
--- a/src/base/files.h
+++ b/src/base/files.h
@@ -8,21 +8,21 @@
 namespace sumackeel::base {
 
 // A descriptor that closes itself.
-class File {
+class FileDescriptor {
   public:
-    File(const std::string& path, int flags);
-    ~File();
-    File(const File&) = delete;
-    File& operator=(const File&) = delete;
+    FileDescriptor(const std::string& path, int flags);
+    ~FileDescriptor();
+    FileDescriptor(const FileDescriptor&) = delete;
+    FileDescriptor& operator=(const FileDescriptor&) = delete;
     int fd() const { return fd_; }
-    bool open() const { return fd_ >= 0; }
+    bool is_open() const { return fd_ >= 0; }
 
   private:
     int fd_;
 };
 
 // "PATH WHAT: the system's reason".
-std::string failed(const char* what, const std::string& path);
+std::string system_call_error(const char* what, const std::string& path);
 
 #ifdef SUMACKEEL_TEST_KEYS
 // Of test builds: the process ends at the so-manieth point between two system calls of put_in_place and of
@@ -36,31 +36,32 @@
 // Writes `unfinished` in `folder`, which is made if it is missing, and gives it the name `final` once it is
 // on disk. Whatever the moment of a crash, `final` is what it was or what it is to be. Empty: done; else what
 // went wrong.
-std::string put_in_place(const std::string& folder, const std::string& unfinished, const std::string& final,
+std::string replace_file(const std::string& folder, const std::string& unfinished, const std::string& final,
                          std::string_view bytes);
 
-enum class Reading { done, missing, unreadable, unfit };  // unfit: no plain file, or too long
+enum class ReadStatus { ok, missing, unreadable, not_regular };  // unfit: no plain file, or too long
 
 // The bytes of a plain file of `most` bytes at the most; unless it is done, `fault` says what went wrong.
-Reading read_plain(const std::string& path, std::size_t most, std::string& bytes, std::string& fault);
+ReadStatus read_regular_file(const std::string& path, std::size_t most, std::string& bytes,
+                             std::string& fault);
 
 // All that can be read from a file, a pipe or a device, `most` bytes at the most. 0, or an errno; EFBIG: it
 // is longer.
-int read_all(const std::string& path, std::size_t most, std::string& text);
+int read_entire_file(const std::string& path, std::size_t most, std::string& text);
 
 // Held for as long as this lives: two programs on one folder would remove each other's generations.
-class FolderLock {
+class DirectoryLock {
   public:
     // Makes the folder. `name`: of the lock's file, where several kinds of files share a folder.
-    explicit FolderLock(const std::string& folder, const char* name = "lock");
-    ~FolderLock();
-    FolderLock(const FolderLock&) = delete;
-    FolderLock& operator=(const FolderLock&) = delete;
-    const std::string& fault() const { return fault_; }  // empty: it is held
+    explicit DirectoryLock(const std::string& folder, const char* name = "lock");
+    ~DirectoryLock();
+    DirectoryLock(const DirectoryLock&) = delete;
+    DirectoryLock& operator=(const DirectoryLock&) = delete;
+    const std::string& error() const { return error_; }  // empty: it is held
 
   private:
     int fd_ = -1;
-    std::string fault_;
+    std::string error_;
 };
 
 }  // namespace sumackeel::base
--- a/src/base/generations.cpp
+++ b/src/base/generation_files.cpp
@@ -1,4 +1,4 @@
-#include "base/generations.h"
+#include "base/generation_files.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -20,15 +20,15 @@
 
 }  // namespace
 
-std::string Generations::name_of(std::uint64_t generation) const {
+std::string GenerationFiles::name_of(std::uint64_t generation) const {
     return fmt::format("{}{:0{}}{}", prefix_, generation, kDigits, suffix_);
 }
 
-std::string Generations::path_of(std::uint64_t generation) const {
-    return folder_ + '/' + name_of(generation);
+std::string GenerationFiles::path_of(std::uint64_t generation) const {
+    return directory_ + '/' + name_of(generation);
 }
 
-std::uint64_t Generations::generation_of(const std::string& name) const {
+std::uint64_t GenerationFiles::generation_of(const std::string& name) const {
     if (name.size() != prefix_.size() + kDigits + suffix_.size() || !name.starts_with(prefix_) ||
         !name.ends_with(suffix_))
         return 0;
@@ -38,10 +38,10 @@
     return read.ec == std::errc{} && read.ptr == end ? number : 0;
 }
 
-std::vector<std::uint64_t> Generations::all() const {
+std::vector<std::uint64_t> GenerationFiles::generations() const {
     std::vector<std::uint64_t> all;
     std::error_code fault;
-    for (std::filesystem::directory_iterator it(folder_, fault), end; !fault && it != end;
+    for (std::filesystem::directory_iterator it(directory_, fault), end; !fault && it != end;
          it.increment(fault))
         if (const auto number = generation_of(it->path().filename().string())) all.push_back(number);
     std::sort(all.rbegin(), all.rend());
@@ -51,15 +51,16 @@
 // Danger: each step only adds until the new generation is on disk under its own name. Whatever the moment of
 // a crash, the folder holds the old generations, or them and the new one; a file half written has no such
 // name.
-std::string Generations::write(std::string_view bytes, std::uint64_t generation, std::uint64_t keep) const {
-    const std::string fault = put_in_place(folder_, prefix_ + kUnfinished, name_of(generation), bytes);
+std::string GenerationFiles::write(std::string_view bytes, std::uint64_t generation,
+                                   std::uint64_t keep) const {
+    const std::string fault = replace_file(directory_, prefix_ + kUnfinished, name_of(generation), bytes);
     if (!fault.empty()) return fault;
-    for (const std::uint64_t old : all())
+    for (const std::uint64_t old : generations())
         if (old != generation && old != keep) crash_point(), ::unlink(path_of(old).c_str());
     return {};
 }
 
-void Generations::set_aside(std::uint64_t generation) const {
+void GenerationFiles::quarantine(std::uint64_t generation) const {
     const std::string path = path_of(generation);
     std::rename(path.c_str(), (path + ".bad").c_str());
 }
--- a/src/base/generations.h
+++ b/src/base/generation_files.h
@@ -9,25 +9,25 @@
 
 namespace sumackeel::base {
 
-class Generations {
+class GenerationFiles {
   public:
-    Generations(std::string folder, std::string prefix, std::string suffix)
-        : folder_(std::move(folder)), prefix_(std::move(prefix)), suffix_(std::move(suffix)) {}
+    GenerationFiles(std::string folder, std::string prefix, std::string suffix)
+        : directory_(std::move(folder)), prefix_(std::move(prefix)), suffix_(std::move(suffix)) {}
 
-    const std::string& folder() const { return folder_; }
+    const std::string& directory() const { return directory_; }
     std::string path_of(std::uint64_t generation) const;
-    std::vector<std::uint64_t> all() const;  // the newest first
+    std::vector<std::uint64_t> generations() const;  // the newest first
     // Puts a new generation beside `keep`, the last good one, and removes all others: whole or not at all.
     // Empty: it is on disk; else what went wrong, and the folder is as it was.
     std::string write(std::string_view bytes, std::uint64_t generation, std::uint64_t keep) const;
     // Out of the way, under a name that no generation has.
-    void set_aside(std::uint64_t generation) const;
+    void quarantine(std::uint64_t generation) const;
 
   private:
     std::string name_of(std::uint64_t generation) const;
     std::uint64_t generation_of(const std::string& name) const;  // 0: not the name of one
 
-    std::string folder_, prefix_, suffix_;
+    std::string directory_, prefix_, suffix_;
 };
 
 }  // namespace sumackeel::base
--- a/src/base/json_line.h
+++ b/src/base/json_line.h
@@ -7,7 +7,7 @@
 
 namespace sumackeel::base {
 
-inline std::string json_line(const Json::Value& root) {
+inline std::string to_json_line(const Json::Value& root) {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
     return Json::writeString(builder, root) + "\n";
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -66,12 +66,12 @@
 
 }  // namespace
 
-Background::Background() {
+AsyncWriter::AsyncWriter() {
     writer = new Writer;
 }
 
 // Danger: a thread that waits in a write can't be joined. It then goes on until the process ends.
-Background::~Background() {
+AsyncWriter::~AsyncWriter() {
     Writer* const mine = writer;
     const auto latest = std::chrono::steady_clock::now() + kLastLines;
     while (!mine->idle() && std::chrono::steady_clock::now() < latest)
@@ -95,7 +95,7 @@
     return false;
 }
 
-bool wanted(Level level) {
+bool is_enabled(Level level) {
     return level >= threshold;
 }
 
@@ -111,7 +111,7 @@
     std::fwrite(line.data(), 1, line.size(), stderr);
 }
 
-bool Sparing::turn() {
+bool RateLimitedLogger::turn() {
     const auto now = std::chrono::steady_clock::now();
     if (last_ != decltype(last_){} && now - last_ < std::chrono::seconds(1)) return ++left_out_, false;
     last_ = now;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -18,44 +18,44 @@
 enum class Level { debug, info, warn, error };
 
 bool set_level(std::string_view name);  // false: no such level
-bool wanted(Level level);
+bool is_enabled(Level level);
 void write(Level level, std::string_view text);
 
 // Writes all lines on a thread of its own for as long as it lives; there is one at most.
-class Background {
+class AsyncWriter {
   public:
-    Background();
-    ~Background();  // waits for lines that are not written yet, within a bound
-    Background(const Background&) = delete;
-    Background& operator=(const Background&) = delete;
+    AsyncWriter();
+    ~AsyncWriter();  // waits for lines that are not written yet, within a bound
+    AsyncWriter(const AsyncWriter&) = delete;
+    AsyncWriter& operator=(const AsyncWriter&) = delete;
 };
 // Lines that were left out since the start, as nobody took those before them.
 std::uint64_t dropped_lines();
 
 template <typename... Args>
 void debug(fmt::format_string<Args...> form, Args&&... args) {
-    if (wanted(Level::debug)) write(Level::debug, fmt::format(form, std::forward<Args>(args)...));
+    if (is_enabled(Level::debug)) write(Level::debug, fmt::format(form, std::forward<Args>(args)...));
 }
 template <typename... Args>
 void info(fmt::format_string<Args...> form, Args&&... args) {
-    if (wanted(Level::info)) write(Level::info, fmt::format(form, std::forward<Args>(args)...));
+    if (is_enabled(Level::info)) write(Level::info, fmt::format(form, std::forward<Args>(args)...));
 }
 template <typename... Args>
 void warn(fmt::format_string<Args...> form, Args&&... args) {
-    if (wanted(Level::warn)) write(Level::warn, fmt::format(form, std::forward<Args>(args)...));
+    if (is_enabled(Level::warn)) write(Level::warn, fmt::format(form, std::forward<Args>(args)...));
 }
 template <typename... Args>
 void error(fmt::format_string<Args...> form, Args&&... args) {
-    if (wanted(Level::error)) write(Level::error, fmt::format(form, std::forward<Args>(args)...));
+    if (is_enabled(Level::error)) write(Level::error, fmt::format(form, std::forward<Args>(args)...));
 }
 
 // For lines that others can bring about as often as they like: one a second, with the number of those left
 // out.
-class Sparing {
+class RateLimitedLogger {
   public:
     template <typename... Args>
     void warn(fmt::format_string<Args...> form, Args&&... args) {
-        if (!wanted(Level::warn) || !turn()) return;
+        if (!is_enabled(Level::warn) || !turn()) return;
         std::string text = fmt::format(form, std::forward<Args>(args)...);
         if (const int left_out = std::exchange(left_out_, 0))
             text += fmt::format(" (and {} before)", left_out);
--- a/src/base/packed.h
+++ b/src/base/msgpack.h
@@ -14,10 +14,10 @@
 
 namespace sumackeel::base {
 
-class Fields {
+class MsgpackReader {
   public:
-    Fields(const msgpack::object& object, std::size_t least) {
-        if (object.type != msgpack::type::ARRAY || object.via.array.size < least) broken();
+    MsgpackReader(const msgpack::object& object, std::size_t least) {
+        if (object.type != msgpack::type::ARRAY || object.via.array.size < least) fail();
         at_ = object.via.array.ptr, left_ = object.via.array.size;
     }
 
@@ -26,34 +26,34 @@
         try {
             return one().as<T>();
         } catch (const msgpack::type_error&) {
-            broken();
+            fail();
         }
     }
     std::string text(std::size_t longest) {
         auto value = next<std::string>();
-        if (value.size() > longest) broken();
+        if (value.size() > longest) fail();
         return value;
     }
     // Of an enum whose highest value is `last`.
     template <typename E>
-    E word(E last) {
+    E enumeration(E last) {
         const int value = next<int>();
-        if (value < 0 || value > static_cast<int>(last)) broken();
+        if (value < 0 || value > static_cast<int>(last)) fail();
         return static_cast<E>(value);
     }
-    Fields list(std::size_t most) {
-        Fields inner(one(), 0);
-        if (inner.left() > most) broken();
+    MsgpackReader list(std::size_t most) {
+        MsgpackReader inner(one(), 0);
+        if (inner.remaining() > most) fail();
         return inner;
     }
-    Fields array(std::size_t least) { return {one(), least}; }
-    std::uint32_t left() const { return left_; }
+    MsgpackReader array(std::size_t least) { return {one(), least}; }
+    std::uint32_t remaining() const { return left_; }
 
-    [[noreturn]] static void broken() { throw std::runtime_error("bytes that can't be read"); }
+    [[noreturn]] static void fail() { throw std::runtime_error("bytes that can't be read"); }
 
   private:
     const msgpack::object& one() {
-        if (left_ == 0) broken();
+        if (left_ == 0) fail();
         --left_;
         return *at_++;
     }
@@ -62,29 +62,29 @@
     std::uint32_t left_ = 0;
 };
 
-struct Unpacked {  // owns what its Fields read
+struct MsgpackDocument {  // owns what its Fields read
     msgpack::object_handle handle;
-    Fields fields(std::size_t least) const { return {handle.get(), least}; }
+    MsgpackReader reader(std::size_t least) const { return {handle.get(), least}; }
 };
 
 // `most`: elements of one array, `longest`: bytes of one text.
-inline Unpacked unpacked(std::string_view bytes, std::size_t most, std::size_t longest) {
+inline MsgpackDocument parse_msgpack(std::string_view bytes, std::size_t most, std::size_t longest) {
     try {
         return {msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr,
                                 msgpack::unpack_limit(most, 16, longest, longest, 0, 8))};
     } catch (const std::exception&) {
-        Fields::broken();
+        MsgpackReader::fail();
     }
 }
 
-class Packed {
+class MsgpackWriter {
   public:
     template <typename... Values>
-    Packed& add(const Values&... values) {
+    MsgpackWriter& add(const Values&... values) {
         (out_.pack(values), ...);
         return *this;
     }
-    Packed& array(std::size_t size) {
+    MsgpackWriter& array(std::size_t size) {
         out_.pack_array(static_cast<std::uint32_t>(size));
         return *this;
     }
--- a/src/base/finished_within.h
+++ b/src/base/run_with_timeout.h
@@ -16,7 +16,7 @@
 // goes on by itself, unheard, so it may hold nothing that dies with the caller. What it throws is thrown
 // here.
 template <typename Work>
-std::optional<std::invoke_result_t<Work>> finished_within(std::chrono::milliseconds span, Work work) {
+std::optional<std::invoke_result_t<Work>> run_with_timeout(std::chrono::milliseconds span, Work work) {
     std::packaged_task<std::invoke_result_t<Work>()> task(std::move(work));
     auto result = task.get_future();
     std::thread(std::move(task)).detach();
--- a/src/base/slots.h
+++ b/src/base/slot_map.h
@@ -24,7 +24,7 @@
 };
 
 template <typename T>
-class Slots {
+class SlotMap {
   public:
     Handle add(T value) {
         if (free_.empty()) {
@@ -55,7 +55,7 @@
     }
 
     template <typename Each>
-    void each(Each visit) const {
+    void for_each(Each visit) const {
         for (std::uint32_t i = 0; i < slots_.size(); ++i)
             if (slots_[i].value) visit(Handle{i, slots_[i].generation}, *slots_[i].value);
     }
--- a/src/base/system_error.cpp
+++ b/src/base/system_error.cpp
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-int retry_at_start(const std::function<int()>& attempt) {
+int retry_at_startup(const std::function<int()>& attempt) {
     const auto until = std::chrono::steady_clock::now() + kStartPatience;
-    log::Sparing line;
+    log::RateLimitedLogger line;
     for (;;) {
         const int result = attempt();
         if (result == 0 || !is_transient(result) || std::chrono::steady_clock::now() >= until) return result;
@@ -28,9 +28,9 @@
     }
 }
 
-std::string retry_folder_at_start(const std::function<std::string()>& attempt) {
+std::string retry_directory_at_startup(const std::function<std::string()>& attempt) {
     const auto until = std::chrono::steady_clock::now() + kFolderPatience;
-    log::Sparing line;
+    log::RateLimitedLogger line;
     for (;;) {
         std::string fault = attempt();
         if (fault.empty() || std::chrono::steady_clock::now() >= until) return fault;
--- a/src/base/system_error.h
+++ b/src/base/system_error.h
@@ -34,13 +34,13 @@
 
 // The same for a folder at a start: it may also fail for a while and heal. Calls `attempt` until it says that
 // nothing is wrong, for `kFolderPatience` at the most, and gives what the last call said.
-std::string retry_folder_at_start(const std::function<std::string()>& attempt);
+std::string retry_directory_at_startup(const std::function<std::string()>& attempt);
 
 // A folder that has not answered by then at a start hangs: retry_folder_at_start() would have given up.
-constexpr std::chrono::seconds kFolderAnswersWithin{6};
+constexpr std::chrono::seconds kDirectoryResponseTimeout{6};
 
 // Calls `attempt` until it gives 0 or an error that is not transient, for `kStartPatience` at the most.
 // Blocks between the calls, so it is for the start of the program alone. Gives what the last call gave.
-int retry_at_start(const std::function<int()>& attempt);
+int retry_at_startup(const std::function<int()>& attempt);
 
 }  // namespace sumackeel::base
--- a/src/base/deadlines.h
+++ b/src/base/timer_queue.h
@@ -12,26 +12,26 @@
 
 namespace sumackeel::base {
 
-class Deadlines {
+class TimerQueue {
   public:
     using Key = std::pair<Micros, std::uint64_t>;  // due at, order of setting
 
-    Key set(Micros at, std::function<void()> what) {
+    Key schedule(Micros at, std::function<void()> what) {
         const Key key{at, next_++};
         due_.emplace(key, std::move(what));
         return key;
     }
 
     std::size_t size() const { return due_.size(); }
-    void drop(const Key& key) { due_.erase(key); }
+    void cancel(const Key& key) { due_.erase(key); }
 
-    std::optional<Micros> next() const {
+    std::optional<Micros> next_deadline() const {
         if (due_.empty()) return std::nullopt;
         return due_.begin()->first.first;
     }
 
     // Runs what is due at `now`; what it sets anew waits for the next sweep at the earliest.
-    void sweep(Micros now) {
+    void run_due(Micros now) {
         const std::uint64_t newest = next_;
         for (auto it = due_.begin(); it != due_.end() && it->first.first <= now;) {
             if (it->first.second >= newest) {
--- a/src/cli/ops_call.cpp
+++ b/src/cli/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "cli/ops_call.h"
+#include "cli/admin_client.h"
 
 #include <fmt/format.h>
 #include <http_parser.h>
@@ -13,7 +13,7 @@
 constexpr base::Micros kPatience = 5'000'000;
 constexpr std::size_t kLongest = 16 << 20;
 
-struct Caller : net::Stream::Owner {
+struct Caller : net::Stream::Handler {
     net::Loop& loop;
     std::string request;
     http_parser parser{};
@@ -37,14 +37,14 @@
             return 0;
         };
     }
-    void opened(net::Stream& stream) override { stream.write(request); }
-    void received(net::Stream& stream, std::string_view bytes) override {
+    void on_open(net::Stream& stream) override { stream.write(request); }
+    void on_data(net::Stream& stream, std::string_view bytes) override {
         http_parser_execute(&parser, &settings, bytes.data(), bytes.size());
         if (!whole && HTTP_PARSER_ERRNO(&parser) == HPE_OK) return;
         stream.close();
         loop.stop();
     }
-    void gone(net::Stream&, net::Gone) override {
+    void on_close(net::Stream&, net::DisconnectCause) override {
         http_parser_execute(&parser, &settings, nullptr, 0);
         loop.stop();
     }
@@ -55,14 +55,14 @@
 OpsAnswer ops_call(const std::string& address, const std::string& method, const std::string& path,
                    const std::string& body) {
     sockaddr_in to{};
-    if (!net::read_address(address, to)) throw config::ConfigError("no address of a proxy: " + address);
+    if (!net::parse_address(address, to)) throw config::ConfigError("no address of a proxy: " + address);
     net::Loop loop;
-    net::Budget budget(4);
+    net::SocketBudget budget(4);
     Caller caller(loop, fmt::format("{} {} HTTP/1.1\r\nHost: ops\r\nContent-Length: {}\r\n\r\n{}", method,
                                     path, body.size(), body));
     if (!net::Stream::connect(loop, budget, to, caller))
         throw config::ConfigError("no connection to " + address);
-    loop.deadlines().set(loop.clock().now() + kPatience, [&loop] { loop.stop(); });
+    loop.timers().schedule(loop.clock().now() + kPatience, [&loop] { loop.stop(); });
     loop.run();
     if (!caller.whole) throw config::ConfigError(address + " does not answer");
     return std::move(caller.answer);
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -33,7 +33,7 @@
 #include "config/operator.h"
 #include "daemon/daemon.h"
 #include "daemon/expectation_gate.h"
-#include "front_signed/links.h"
+#include "signed_url_server/signed_urls.h"
 
 namespace sumackeel::cli {
 
@@ -64,13 +64,13 @@
     if (flags.student.empty()) return wrong("no student: give --student");
     if (!(flags.expires_in > 0)) return wrong("--expires-in: not a number of seconds over 0");
     const auto setup = config::load_operator(flags.setup);
-    if (!setup.signed_front) return wrong(flags.setup + ": signed_front is missing");
-    const front_signed::Gate gate(*setup.signed_front);
+    if (!setup.signed_url_server) return wrong(flags.setup + ": signed_front is missing");
+    const signed_url_server::LinkVerifier gate(*setup.signed_url_server);
     const double expires =
         std::floor(static_cast<double>(base::Clock().unix_now().micros) / 1e6 + flags.expires_in);
     if (token) return fmt::print("{}\n", gate.student_token(flags.student_key, flags.student, expires)), 0;
-    front_signed::Target target;
-    if (!front_signed::read_target(flags.words.empty() ? "" : flags.words.front(), target))
+    signed_url_server::Target target;
+    if (!signed_url_server::parse_target(flags.words.empty() ? "" : flags.words.front(), target))
         return wrong("a target is needed, as in /video/7f3a9c21e0b4d655/3?set=17");
     fmt::print("{}\n",
                gate.sign(target, flags.link_key, flags.subject_key, flags.student, expires, flags.one_time));
@@ -79,7 +79,7 @@
 
 int list(const Flags& flags) {
     ListFlags list{.words = flags.words, .json = flags.json, .settings = {}, .site = {}};
-    if (!flags.setup.empty()) list.settings = config::load_operator(flags.setup).saved_list;
+    if (!flags.setup.empty()) list.settings = config::load_operator(flags.setup).endpoint_snapshot;
     if (!flags.config.empty()) list.site = config::load_config(flags.config).site;
     return list_command(list);
 }
@@ -119,12 +119,12 @@
     config::load_config(flags.config);
     if (!flags.setup.empty()) {
         const auto setup = config::load_operator(flags.setup);
-        if (setup.signed_front) front_signed::Gate{*setup.signed_front};
+        if (setup.signed_url_server) signed_url_server::LinkVerifier{*setup.signed_url_server};
         fmt::print("{}: sound{}\n", flags.setup,
                    setup.old_form ? ", but JSON: the next version reads TOML alone" : "");
     }
     return fmt::print("{}: sound\n", flags.config), 0;
-} catch (const config::Complaints& all) {
+} catch (const config::ValidationErrors& all) {
     for (const std::string& line : all.lines) wrong(line);
     return 2;
 }
@@ -164,7 +164,7 @@
 auto load_at_start(Load load) {
     std::optional<decltype(load())> loaded;
     std::string fault;
-    base::retry_at_start([&] {
+    base::retry_at_startup([&] {
         try {
             loaded = load();
             return 0;
@@ -179,15 +179,16 @@
 
 int serve(const Flags& flags) {
     hold_signals();
-    const log::Background log_thread;  // behind the signals, which it is not to take
+    const log::AsyncWriter log_thread;  // behind the signals, which it is not to take
     if (flags.config.empty()) return wrong("no configuration: give --config or set GW_CONFIG");
     auto config = load_at_start([&] { return config::load_config(flags.config); });
     from_platform(config);
     const auto setup = load_at_start(
         [&] { return flags.setup.empty() ? config::Operator{} : config::load_operator(flags.setup); });
-    if (setup.signed_front) front_signed::Gate{*setup.signed_front};  // its keys must be usable
+    if (setup.signed_url_server)
+        signed_url_server::LinkVerifier{*setup.signed_url_server};  // its keys must be usable
     if (setup.test_clock_offset_s != 0)
-        base::Clock::set_off(static_cast<base::Micros>(setup.test_clock_offset_s * 1e6));
+        base::Clock::set_wall_offset(static_cast<base::Micros>(setup.test_clock_offset_s * 1e6));
     if (setup.old_form)
         log::warn("{}: JSON is read for this version only, the next one reads TOML", flags.setup);
     if (setup.expectations) {
--- a/src/cli/expect_command.cpp
+++ b/src/cli/expect_command.cpp
@@ -13,14 +13,14 @@
 
 #include "config/read.h"
 #include "daemon/expectation_gate.h"
-#include "expect/case.h"
-#include "expect/compare.h"
-#include "saved_list/folder.h"
+#include "endpoint_snapshot/snapshot_directory.h"
+#include "expectations/counterexample_file.h"
+#include "expectations/fleet_diff.h"
 
 namespace sumackeel::cli {
 
 using config::bad;
-using expect::Holds;
+using expectations::Conclusion;
 
 namespace {
 
@@ -28,9 +28,9 @@
 constexpr double kHeaviest = 1e6;
 
 // One event a line, as the change log tells them; its own "data:" in front is passed over.
-std::vector<config::Change> read_changes(const std::string& path, const config::Site& site) {
-    std::vector<config::Change> changes;
-    std::istringstream lines(config::file_text(path));
+std::vector<config::WatchEvent> read_changes(const std::string& path, const config::Site& site) {
+    std::vector<config::WatchEvent> changes;
+    std::istringstream lines(config::read_file(path));
     int number = 0;
     for (std::string line; std::getline(lines, line);) {
         ++number;
@@ -39,7 +39,7 @@
         if (first == std::string::npos || line[first] != '{') continue;
         const std::string where = fmt::format("{}:{}", path, number);
         try {
-            changes.push_back(config::read_change(config::parse(line, where), site));
+            changes.push_back(config::parse_watch_event(config::parse(line, where), site));
         } catch (const config::ConfigError& wrong) {
             bad(where, wrong.what());
         }
@@ -48,29 +48,29 @@
     return changes;
 }
 
-std::vector<config::Change> read_list(const std::string& path, const config::Site& site) {
-    const std::string file = saved_list::newest_in(path);
+std::vector<config::WatchEvent> read_list(const std::string& path, const config::Site& site) {
+    const std::string file = endpoint_snapshot::newest_snapshot_path(path);
     std::string bytes;
-    if (const auto fault = saved_list::read_file(file, bytes)) bad(file, fault->text);
-    const auto read = membership::decode(bytes, {site.zones, site.kinds});
-    if (read.fault) bad(file, read.fault->text);
+    if (const auto fault = endpoint_snapshot::read_file(file, bytes)) bad(file, fault->text);
+    const auto read = endpoints::decode(bytes, {site.zones, site.kinds});
+    if (read.error) bad(file, read.error->text);
     if (read.left_out)
         bad(file, fmt::format("{} members of zones or kinds that the settings lack", read.left_out));
-    config::Change change;
-    change.has_fleet = change.whole = true;
-    for (const auto& member : read.list.members) change.members.push_back(member.word->placed);
+    config::WatchEvent change;
+    change.has_endpoints = change.is_full_list = true;
+    for (const auto& member : read.snapshot.endpoints) change.endpoints.push_back(member.record->located);
     return {change};
 }
 
 // [[box]], [[parent]] and [[origin]] with name, at (zone) and weight; `kind` where it is not the settings'
 // own.
-std::vector<config::Change> read_description(const std::string& path, const config::Site& site) {
-    const config::Node root = config::read_toml(config::file_text(path), path);
-    config::Change change;
-    change.has_fleet = change.whole = true;
-    std::map<std::string, config::Place> named;
+std::vector<config::WatchEvent> read_description(const std::string& path, const config::Site& site) {
+    const config::Node root = config::read_toml(config::read_file(path), path);
+    config::WatchEvent change;
+    change.has_endpoints = change.is_full_list = true;
+    std::map<std::string, config::SourceLocation> named;
     for (const auto& [section, list] : std::get<config::Node::Table>(root.value)) {
-        const auto where = [&](const config::Place& at) {
+        const auto where = [&](const config::SourceLocation& at) {
             return fmt::format("{}:{}:{}", path, at.line, at.column);
         };
         const auto items = std::get_if<config::Node::List>(&list.value);
@@ -80,12 +80,14 @@
         for (const config::Node& item : *items) {
             const auto table = std::get_if<config::Node::Table>(&item.value);
             if (!table) bad(where(item.place), "a table is wanted");
-            config::Placed placed;
+            config::LocatedEndpoint placed;
             placed.address = "127.0.0.1:1";  // nothing is sent
-            placed.entry.kind = section == "parent"   ? site.settings.parent_kind
-                                : section == "origin" ? site.settings.origin_kind
-                                                      : -1;
-            for (const auto& [key, value] : *table) {
+            placed.endpoint.kind = section == "parent"   ? site.settings.parent_kind
+                                   : section == "origin" ? site.settings.origin_kind
+                                                         : -1;
+            for (const auto& item : *table) {
+                const auto& key = item.first;
+                const auto& value = item.second;
                 const auto text = std::get_if<std::string>(&value.value);
                 const auto whole = std::get_if<std::int64_t>(&value.value);
                 const auto real = std::get_if<double>(&value.value);
@@ -97,26 +99,26 @@
                     return static_cast<int>(found - names.begin());
                 };
                 if (key == "name" && text && !text->empty()) {
-                    placed.entry.cache = *text;
+                    placed.endpoint.name = *text;
                     const auto [before, fresh] = named.emplace(*text, value.place);
                     if (!fresh)
                         bad(where(value.place),
                             fmt::format("'{}' is named twice, first in line {}", *text, before->second.line));
                 } else if (key == "at")
-                    placed.entry.zone = place(site.zones, "zone");
+                    placed.endpoint.zone = place(site.zones, "zone");
                 else if (key == "kind")
-                    placed.entry.kind = place(site.kinds, "kind");
+                    placed.endpoint.kind = place(site.kinds, "kind");
                 else if (key == "weight" && (whole || real)) {
-                    placed.entry.weight = whole ? static_cast<double>(*whole) : *real;
+                    placed.endpoint.weight = whole ? static_cast<double>(*whole) : *real;
                     // Negated, so that what is no number at all does not pass either.
-                    if (!(placed.entry.weight > 0 && placed.entry.weight <= kHeaviest))
+                    if (!(placed.endpoint.weight > 0 && placed.endpoint.weight <= kHeaviest))
                         bad(where(value.place), fmt::format("a weight is above 0 and {} at most", kHeaviest));
                 } else
                     bad(where(value.key_place), "name, at, weight and kind are read, not " + key);
             }
-            if (placed.entry.cache.empty() || placed.entry.zone < 0)
+            if (placed.endpoint.name.empty() || placed.endpoint.zone < 0)
                 bad(where(item.place), "name or at is missing");
-            change.members.push_back(std::move(placed));
+            change.endpoints.push_back(std::move(placed));
         }
     }
     return {change};
@@ -145,13 +147,14 @@
 }
 
 struct Result {
-    expect::Verdict verdict;
-    expect::Tally tally;
-    std::optional<expect::Counterexample> example;
+    expectations::Evaluation verdict;
+    expectations::Counts tally;
+    std::optional<expectations::Counterexample> example;
     std::string example_file;
 };
 
-void write_junit(const std::string& path, const expect::Suite& suite, const std::vector<Result>& results) {
+void write_junit(const std::string& path, const expectations::Suite& suite,
+                 const std::vector<Result>& results) {
     const auto count = [&](auto holds) {
         return std::count_if(results.begin(), results.end(),
                              [&](const Result& r) { return holds(r.verdict.holds); });
@@ -159,17 +162,19 @@
     std::ofstream file(path);
     file << "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n"
          << fmt::format("<testsuite name=\"expectations\" tests=\"{}\" failures=\"{}\" errors=\"{}\">\n",
-                        results.size(), count([](Holds h) { return h == Holds::broken; }),
-                        count([](Holds h) { return h == Holds::undecided || h == Holds::never_applied; }));
+                        results.size(), count([](Conclusion h) { return h == Conclusion::broken; }),
+                        count([](Conclusion h) {
+                            return h == Conclusion::undecided || h == Conclusion::never_applied;
+                        }));
     for (std::size_t i = 0; i < results.size(); ++i) {
-        const expect::Expectation& one = suite.expectations[i];
+        const expectations::Expectation& one = suite.expectations[i];
         const Result& result = results[i];
         file << fmt::format("  <testcase classname=\"expect\" name=\"{}\">", xml(one.name));
-        if (result.verdict.holds == Holds::broken)
+        if (result.verdict.holds == Conclusion::broken)
             file << fmt::format("<failure message=\"{}\">{}</failure>",
                                 xml(result.tally.first ? result.tally.first->what : result.verdict.text),
                                 xml(one.reason));
-        else if (result.verdict.holds != Holds::yes)
+        else if (result.verdict.holds != Conclusion::yes)
             file << fmt::format("<error message=\"{}\"/>", xml(result.verdict.text));
         file << "</testcase>\n";
     }
@@ -181,32 +186,34 @@
 int status_of(const std::vector<Result>& results) {
     int status = 0;
     for (const Result& result : results) {
-        if (result.verdict.holds == Holds::broken) return 1;
-        if (result.verdict.holds != Holds::yes) status = 2;
+        if (result.verdict.holds == Conclusion::broken) return 1;
+        if (result.verdict.holds != Conclusion::yes) status = 2;
     }
     return status;
 }
 
 // Prints a replay step by step and marks the decision that broke the expectation.
-class Narrator : public expect::Judge {
+class Narrator : public expectations::Evaluator {
   public:
-    using Judge::Judge;
+    using Evaluator::Evaluator;
     bool wants_steps() const override { return true; }
-    void step(expect::Micros at, const std::string& words) override {
+    void step(expectations::Micros at, const std::string& words) override {
         fmt::print("{:10.3f} ms  {}\n", static_cast<double>(at) / 1e3, words);
     }
-    void decided(const expect::Ask& ask, const expect::Decision& made,
-                 const std::vector<expect::ToldState>& told) override {
+    void on_decision(const expectations::SimulatedRequest& ask, const expectations::Decision& made,
+                     const std::vector<expectations::NotifiedStateSince>& told) override {
         const auto before = tallies()[0].broken;
-        Judge::decided(ask, made, told);
+        Evaluator::on_decision(ask, made, told);
         mark(before);
     }
-    void ended(const expect::Ask& ask, const expect::RequestEnd& end,
-               const std::vector<expect::ToldState>& told) override {
+    void on_request_finished(const expectations::SimulatedRequest& ask,
+                             const expectations::RequestResult& end,
+                             const std::vector<expectations::NotifiedStateSince>& told) override {
         const auto before = tallies()[0].broken;
-        Judge::ended(ask, end, told);
+        Evaluator::on_request_finished(ask, end, told);
         fmt::print("{:10.3f} ms       request {}: {} after {} attempts\n",
-                   static_cast<double>(ask.at + end.took) / 1e3, end.request, name_of(end.how), end.attempts);
+                   static_cast<double>(ask.at + end.elapsed) / 1e3, end.request, name_of(end.outcome),
+                   end.attempts);
         mark(before);
     }
 
@@ -218,20 +225,20 @@
 
 }  // namespace
 
-expect::Fleet load_fleet(const FleetFrom& from) {
+expectations::FleetModel load_fleet(const FleetFrom& from) {
     if (from.config.empty()) throw config::ConfigError("no configuration for the settings: give --config");
     if (from.list.empty() && from.changes.empty() && from.fleet.empty())
         return daemon::fleet_of_config(from.config);
     const std::string settings = daemon::settings_of_config(from.config);
-    const config::Site site = config::read_site(settings);
-    if (!from.list.empty()) return expect::make_fleet(settings, read_list(from.list, site));
-    if (!from.changes.empty()) return expect::make_fleet(settings, read_changes(from.changes, site));
-    return expect::make_fleet(settings, read_description(from.fleet, site));
+    const config::Site site = config::parse_site(settings);
+    if (!from.list.empty()) return expectations::make_fleet(settings, read_list(from.list, site));
+    if (!from.changes.empty()) return expectations::make_fleet(settings, read_changes(from.changes, site));
+    return expectations::make_fleet(settings, read_description(from.fleet, site));
 }
 
 int expect_run(const ExpectFlags& flags) {
-    const expect::Fleet fleet = load_fleet(flags.from);
-    const expect::Suite suite = daemon::load_suite(flags.file, fleet);
+    const expectations::FleetModel fleet = load_fleet(flags.from);
+    const expectations::Suite suite = daemon::load_suite(flags.file, fleet);
     const auto start = std::chrono::steady_clock::now();
     const bool show_progress = !flags.quiet && isatty(2);
     auto shown = start;
@@ -247,15 +254,16 @@
     if (show_progress && shown != start) fmt::print(stderr, "\r{:40}\r", "");
     std::vector<Result> results;
     for (std::size_t i = 0; i < suite.expectations.size(); ++i) {
-        Result result{expect::verdict_of(suite.expectations[i], run.tallies[i]), run.tallies[i], {}, {}};
+        Result result{
+            expectations::verdict_of(suite.expectations[i], run.tallies[i]), run.tallies[i], {}, {}};
         if (result.tally.first) {
-            result.example = expect::shrink(run.worlds[result.tally.first->world], fleet, suite, i);
+            result.example = expectations::shrink(run.worlds[result.tally.first->world], fleet, suite, i);
             if (result.example && !flags.cases.empty()) {
                 std::error_code ignored;
                 std::filesystem::create_directories(flags.cases, ignored);
                 result.example_file = flags.cases + '/' + case_name(suite.expectations[i].name);
                 std::ofstream file(result.example_file);
-                file << expect::write_case(fleet, suite.expectations[i], *result.example);
+                file << expectations::write_case(fleet, suite.expectations[i], *result.example);
                 file.flush();
                 if (!file) bad(result.example_file, "can't be written");
             }
@@ -277,7 +285,7 @@
             one["holds"] = name_of(results[i].verdict.holds);
             one["applied"] = Json::UInt64{results[i].tally.applied};
             one["broken"] = Json::UInt64{results[i].tally.broken};
-            if (expect::is_share(suite.expectations[i].rule)) {
+            if (expectations::is_share(suite.expectations[i].rule)) {
                 one["share"] = results[i].verdict.bounds.share;
                 one["lower"] = results[i].verdict.bounds.lower;
                 one["upper"] = results[i].verdict.bounds.upper;
@@ -294,19 +302,19 @@
         return status_of(results);
     }
     std::size_t wide = 4;
-    for (const expect::Expectation& one : suite.expectations) wide = std::max(wide, one.name.size());
+    for (const expectations::Expectation& one : suite.expectations) wide = std::max(wide, one.name.size());
     for (std::size_t i = 0; i < results.size(); ++i) {
-        const expect::Expectation& one = suite.expectations[i];
+        const expectations::Expectation& one = suite.expectations[i];
         const Result& result = results[i];
         fmt::print("{:13}  {:{}}  {}\n", name_of(result.verdict.holds), one.name, wide, result.verdict.text);
-        if (result.verdict.holds != Holds::broken) continue;
+        if (result.verdict.holds != Conclusion::broken) continue;
         fmt::print("{:15}because: {}\n", "", one.reason);
         if (!result.tally.first) continue;
         fmt::print("{:15}in {}: {}\n", "", run.worlds[result.tally.first->world].title,
                    result.tally.first->what);
         if (result.example)
             fmt::print("{:15}smallest: {} happenings, {} requests{}\n", "",
-                       result.example->world.happenings.size(), result.example->asks.size(),
+                       result.example->world.faults.size(), result.example->asks.size(),
                        result.example_file.empty() ? "" : "; sumackeel expect replay " + result.example_file);
     }
     fmt::print("\n{} worlds, {} requests, {} decisions, {} expectations in {}\n", run.worlds_run,
@@ -315,20 +323,20 @@
 }
 
 int expect_list(const ExpectFlags& flags) {
-    const expect::Fleet fleet = load_fleet(flags.from);
-    const expect::Suite suite = daemon::load_suite(flags.file, fleet);
-    for (const expect::Expectation& one : suite.expectations)
+    const expectations::FleetModel fleet = load_fleet(flags.from);
+    const expectations::Suite suite = daemon::load_suite(flags.file, fleet);
+    for (const expectations::Expectation& one : suite.expectations)
         fmt::print("{}\n    {}\n    because: {}\n", one.name, one.text(), one.reason);
-    const auto worlds = expect::enumerate(fleet, suite);
+    const auto worlds = expectations::enumerate(fleet, suite);
     fmt::print("\n{} members, {} schools, {} worlds\n", fleet.members.size(), fleet.schools().size(),
                worlds.size());
     return 0;
 }
 
 int expect_explain(const ExpectFlags& flags) {
-    const expect::Fleet fleet = load_fleet(flags.from);
-    const expect::Suite suite = daemon::load_suite(flags.file, fleet);
-    for (const expect::Expectation& one : suite.expectations) {
+    const expectations::FleetModel fleet = load_fleet(flags.from);
+    const expectations::Suite suite = daemon::load_suite(flags.file, fleet);
+    for (const expectations::Expectation& one : suite.expectations) {
         if (one.name != flags.name) continue;
         fmt::print("{}\n    {}\n    because: {}\n", one.name, one.text(), one.reason);
         std::vector<std::string> members, classes, schools;
@@ -342,9 +350,9 @@
         fmt::print("    from school: {}\n",
                    schools.empty() ? "any" : fmt::format("{}", fmt::join(schools, ", ")));
         std::size_t count = 0;
-        for (const expect::World& world : expect::enumerate(fleet, suite))
+        for (const expectations::Scenario& world : expectations::enumerate(fleet, suite))
             count += one.schools.empty() ||
-                     std::find(one.schools.begin(), one.schools.end(), world.school) != one.schools.end();
+                     std::find(one.schools.begin(), one.schools.end(), world.zone) != one.schools.end();
         fmt::print("    worlds of these schools: {}\n", count);
         return 0;
     }
@@ -353,33 +361,33 @@
 }
 
 int expect_replay(const ExpectFlags& flags) {
-    const expect::Case one = expect::read_case(config::file_text(flags.file), flags.file);
+    const expectations::Case one = expectations::read_case(config::read_file(flags.file), flags.file);
     fmt::print("{}\n    {}\n    because: {}\nworld: {}\n\n", one.suite.expectations[0].name,
                one.suite.expectations[0].text(), one.suite.expectations[0].reason, one.world.title);
     Narrator narrator(one.fleet, one.suite.expectations, one.world);
-    expect::play(one.world, one.fleet, one.asks, narrator);
+    expectations::simulate(one.world, one.fleet, one.asks, narrator);
     const auto& tally = narrator.tallies()[0];
     fmt::print("\napplied {} times, broken {}\n", tally.applied, tally.broken);
     return tally.broken ? 1 : 0;
 }
 
 int expect_diff(const ExpectFlags& flags) {
-    const expect::Fleet before = load_fleet(flags.from), after = load_fleet(flags.with);
-    expect::Traffic traffic;
+    const expectations::FleetModel before = load_fleet(flags.from), after = load_fleet(flags.with);
+    expectations::Traffic traffic;
     if (!flags.file.empty()) traffic = daemon::load_suite(flags.file, before).traffic;
     if (traffic.mix.empty()) {
         traffic.mix.assign(before.site.classes.size(), 1.0);
         for (const auto& service : before.site.settings.classes)
-            traffic.size_kb.push_back(before.site.settings.pace_kb_per_s * static_cast<double>(service.aim) /
-                                      3e6);
+            traffic.size_kb.push_back(before.site.settings.transfer_rate_kb_per_s *
+                                      static_cast<double>(service.latency_objective) / 3e6);
     }
     traffic.seconds = std::max(traffic.seconds, 20.0);
-    const expect::Difference difference = expect::compare(before, after, traffic, 1);
+    const expectations::FleetDiff difference = expectations::compare(before, after, traffic, 1);
     bool any = !difference.only_old.empty() || !difference.only_new.empty();
     if (flags.json) {
         Json::Value root;
         root["moved"] = Json::arrayValue;
-        for (const expect::Moved& moved : difference.moved) {
+        for (const expectations::RoutingShift& moved : difference.moved) {
             any = any || moved.to_other_box || moved.from_other_source;
             Json::Value one;
             one["school"] = moved.school, one["class"] = moved.service;
@@ -397,12 +405,12 @@
         fmt::print("{}\n", Json::writeString(builder, root));
         return any ? 1 : 0;
     }
-    const auto shown = [](const expect::Bounds& b) {
+    const auto shown = [](const expectations::Bounds& b) {
         return fmt::format("{:5.1f}% ({:.1f} to {:.1f})", 100 * b.share, 100 * b.lower, 100 * b.upper);
     };
     fmt::print("{:12}  {:10}  {:>8}  {:24}  {:24}  copies lost\n", "school", "class", "requests",
                "to another box", "filled from elsewhere");
-    for (const expect::Moved& moved : difference.moved) {
+    for (const expectations::RoutingShift& moved : difference.moved) {
         any = any || moved.to_other_box || moved.from_other_source;
         fmt::print("{:12}  {:10}  {:>8}  {:24}  {:24}  {}\n", moved.school, moved.service, moved.requests,
                    shown(moved.box), shown(moved.source),
--- a/src/cli/expect_command.h
+++ b/src/cli/expect_command.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "expect/judge.h"
+#include "expectations/evaluator.h"
 
 namespace sumackeel::cli {
 
@@ -36,6 +36,6 @@
 int expect_replay(const ExpectFlags& flags);
 int expect_diff(const ExpectFlags& flags);
 
-expect::Fleet load_fleet(const FleetFrom& from);
+expectations::FleetModel load_fleet(const FleetFrom& from);
 
 }  // namespace sumackeel::cli
--- a/src/cli/group_command.cpp
+++ b/src/cli/group_command.cpp
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <thread>
 
-#include "cli/ops_call.h"
+#include "cli/admin_client.h"
 #include "config/config.h"
 
 namespace sumackeel::cli {
--- a/src/cli/list_command.cpp
+++ b/src/cli/list_command.cpp
@@ -9,45 +9,45 @@
 #include <set>
 
 #include "base/clock.h"
-#include "membership/view.h"
-#include "saved_list/folder.h"
+#include "endpoint_snapshot/snapshot_directory.h"
+#include "endpoints/endpoint_view.h"
 
 namespace sumackeel::cli {
 
 using base::kSecond;
 using base::Micros;
-using membership::Bands;
-using membership::Decoded;
-using membership::Fault;
-using membership::Names;
-using membership::Snapshot;
-using membership::Use;
-using nettlethread::CacheState;
+using endpoints::DecodedSnapshot;
+using endpoints::NameTables;
+using endpoints::Snapshot;
+using endpoints::SnapshotError;
+using endpoints::StalenessPolicy;
+using endpoints::Trust;
+using routing::EndpointState;
 
 namespace {
 
 struct Opened {
     std::string file;
-    Names names;
-    Decoded read;
+    NameTables names;
+    DecodedSnapshot read;
     std::size_t bytes = 0;
 };
 
 Opened open(const std::string& path) {
     Opened opened;
-    opened.file = saved_list::newest_in(path);
+    opened.file = endpoint_snapshot::newest_snapshot_path(path);
     std::string bytes;
-    if (auto fault = saved_list::read_file(opened.file, bytes)) {
-        opened.read.fault = std::move(fault);
+    if (auto fault = endpoint_snapshot::read_file(opened.file, bytes)) {
+        opened.read.error = std::move(fault);
         return opened;
     }
     opened.bytes = bytes.size();
-    opened.read = membership::decode_all(bytes, opened.names);
+    opened.read = endpoints::decode_all(bytes, opened.names);
     return opened;
 }
 
-const char* name_of(CacheState state) {
-    return state == CacheState::ready ? "ready" : state == CacheState::draining ? "draining" : "gone";
+const char* name_of(EndpointState state) {
+    return state == EndpointState::ready ? "ready" : state == EndpointState::draining ? "draining" : "gone";
 }
 
 std::string name_at(const std::vector<std::string>& names, int place) {
@@ -65,11 +65,11 @@
 // What a proxy would make of the list were it `age` old at its start.
 class Judge {
   public:
-    Judge(const ListFlags& flags, const Opened& opened) : list_(opened.read.list) {
+    Judge(const ListFlags& flags, const Opened& opened) : list_(opened.read.snapshot) {
         if (flags.settings)
-            options_.bands = {.full_until = flags.settings->full_until,
-                              .careful_until = flags.settings->careful_until,
-                              .answered_within = flags.settings->answered_within};
+            options_.staleness = {.full_until = flags.settings->full_until,
+                                  .unverified_until = flags.settings->unverified_until,
+                                  .answered_within = flags.settings->answered_within};
         // Without the platform's settings the origin is known by its name alone.
         const std::string origin = flags.site && flags.site->settings.origin_kind >= 0
                                        ? name_at(flags.site->kinds, flags.site->settings.origin_kind)
@@ -80,22 +80,23 @@
     }
 
     // As though it had been sure until just then.
-    membership::View at_age(Micros age) const {
+    endpoints::EndpointView at_age(Micros age) const {
         Snapshot list = list_;
-        const Micros before = std::max<Micros>(0, list.sure_age);
-        for (membership::Member& member : list.members)
-            if (member.answered >= 0) member.answered = std::max<Micros>(0, member.answered - before);
-        if (list.sure_age >= 0) list.sure_age = 0;
-        membership::View view(options_);
+        const Micros before = std::max<Micros>(0, list.confirmed_age);
+        for (endpoints::KnownEndpoint& member : list.endpoints)
+            if (member.last_response_at >= 0)
+                member.last_response_at = std::max<Micros>(0, member.last_response_at - before);
+        if (list.confirmed_age >= 0) list.confirmed_age = 0;
+        endpoints::EndpointView view(options_);
         view.load(list, list_.taken_at + age, at(age));
         return view;
     }
     Micros at(Micros age) const { return list_.taken_at.micros + age; }
-    const Bands& bands() const { return options_.bands; }
+    const StalenessPolicy& bands() const { return options_.staleness; }
 
   private:
     const Snapshot& list_;
-    membership::Options options_;
+    endpoints::ViewOptions options_;
 };
 
 struct Row {
@@ -105,15 +106,15 @@
 };
 
 std::vector<Row> rows_of(const Opened& opened, const Judge& judge, Micros age) {
-    const membership::View view = judge.at_age(age);
+    const endpoints::EndpointView view = judge.at_age(age);
     const Micros now = judge.at(age);
     std::vector<Row> rows;
-    for (const membership::Member& member : opened.read.list.members) {
-        const auto& entry = member.word->placed.entry;
-        rows.push_back({entry.cache, member.word->placed.address, name_at(opened.names.zones, entry.zone),
+    for (const endpoints::KnownEndpoint& member : opened.read.snapshot.endpoints) {
+        const auto& entry = member.record->located.endpoint;
+        rows.push_back({entry.name, member.record->located.address, name_at(opened.names.zones, entry.zone),
                         name_at(opened.names.kinds, entry.kind), name_of(entry.state),
-                        membership::name_of(view.use_of(entry.cache, now)), span(member.answered),
-                        member.word->seq, entry.weight});
+                        endpoints::name_of(view.trust_of(entry.name, now)), span(member.last_response_at),
+                        member.record->sequence, entry.weight});
     }
     return rows;
 }
@@ -121,27 +122,28 @@
 // The ages at which something changes, and what is used from each on.
 std::vector<std::pair<Micros, std::array<std::size_t, 3>>> by_age(const Judge& judge) {
     std::vector<std::pair<Micros, std::array<std::size_t, 3>>> all;
-    for (const Micros age : {Micros{0}, judge.bands().full_until, judge.bands().careful_until}) {
-        const membership::View view = judge.at_age(age);
+    for (const Micros age : {Micros{0}, judge.bands().full_until, judge.bands().unverified_until}) {
+        const endpoints::EndpointView view = judge.at_age(age);
         const Micros now = judge.at(age);
-        all.push_back(
-            {age, {view.count(Use::full, now), view.count(Use::careful, now), view.count(Use::none, now)}});
+        all.push_back({age,
+                       {view.count(Trust::full, now), view.count(Trust::unverified, now),
+                        view.count(Trust::none, now)}});
     }
     return all;
 }
 
 int complain(const Opened& opened) {
-    fmt::print(stderr, "sumackeel: {}: {}: {}\n", opened.file, membership::name_of(opened.read.fault->kind),
-               opened.read.fault->text);
+    fmt::print(stderr, "sumackeel: {}: {}: {}\n", opened.file, endpoints::name_of(opened.read.error->code),
+               opened.read.error->text);
     return 1;
 }
 
 int show(const ListFlags& flags, const std::string& path) {
     const Opened opened = open(path);
-    if (opened.read.fault) return complain(opened);
-    const Snapshot& list = opened.read.list;
+    if (opened.read.error) return complain(opened);
+    const Snapshot& list = opened.read.snapshot;
     const Judge judge(flags, opened);
-    const Micros age = membership::age_of(list, base::Clock().unix_now());
+    const Micros age = endpoints::age_of(list, base::Clock().unix_now());
     const auto rows = rows_of(opened, judge, std::max<Micros>(0, age));
     if (flags.json) {
         Json::Value root;
@@ -149,8 +151,8 @@
         root["site"] = list.site;
         root["taken_at_us"] = Json::Int64{list.taken_at.micros};
         root["age_us"] = Json::Int64{age};
-        root["last_seq"] = Json::Int64{list.last_seq};
-        root["whole_at"] = Json::Int64{list.whole_at};
+        root["last_seq"] = Json::Int64{list.last_sequence};
+        root["whole_at"] = Json::Int64{list.full_list_sequence};
         root["members"] = Json::arrayValue;
         for (const Row& row : rows) {
             Json::Value one;
@@ -161,10 +163,10 @@
             root["members"].append(one);
         }
         root["purges"] = Json::arrayValue;
-        for (const membership::Purge& purge : list.purges) {
+        for (const endpoints::Purge& purge : list.purges) {
             Json::Value one;
             if (purge.object.empty())
-                one["group"] = purge.group;
+                one["group"] = purge.purge_group;
             else
                 one["object"] = purge.object;
             one["time_us"] = Json::Int64{purge.at};
@@ -183,8 +185,8 @@
         return 0;
     }
     fmt::print("{}: {} bytes, site {}, {} members, {} purges, change log up to {}, whole list at {}\n",
-               opened.file, opened.bytes, list.site, list.members.size(), list.purges.size(), list.last_seq,
-               list.whole_at);
+               opened.file, opened.bytes, list.site, list.endpoints.size(), list.purges.size(),
+               list.last_sequence, list.full_list_sequence);
     fmt::print("last sure {} ago\n\n", span(age));
     std::size_t wide = 4;
     for (const Row& row : rows) wide = std::max(wide, row.name.size());
@@ -202,27 +204,28 @@
 
 int verify(const ListFlags& flags, const std::string& path) {
     Opened opened = open(path);
-    if (!opened.read.fault && flags.settings)
-        opened.read.fault =
-            membership::judge(opened.read.list, flags.settings->site, base::Clock().unix_now());
-    if (opened.read.fault) return complain(opened);
-    fmt::print("{}: sound, {} members, last sure {} ago\n", opened.file, opened.read.list.members.size(),
-               span(membership::age_of(opened.read.list, base::Clock().unix_now())));
+    if (!opened.read.error && flags.settings)
+        opened.read.error =
+            endpoints::validate(opened.read.snapshot, flags.settings->site, base::Clock().unix_now());
+    if (opened.read.error) return complain(opened);
+    fmt::print("{}: sound, {} members, last sure {} ago\n", opened.file,
+               opened.read.snapshot.endpoints.size(),
+               span(endpoints::age_of(opened.read.snapshot, base::Clock().unix_now())));
     return 0;
 }
 
 int diff(const std::string& before, const std::string& after) {
     const Opened old = open(before), fresh = open(after);
-    if (old.read.fault) return complain(old);
-    if (fresh.read.fault) return complain(fresh);
+    if (old.read.error) return complain(old);
+    if (fresh.read.error) return complain(fresh);
     const auto described = [](const Opened& opened) {
         std::map<std::string, std::string> all;
-        for (const membership::Member& member : opened.read.list.members) {
-            const auto& placed = member.word->placed;
-            all[placed.entry.cache] =
-                fmt::format("{} at {} in {} as {}, weight {}", name_of(placed.entry.state), placed.address,
-                            name_at(opened.names.zones, placed.entry.zone),
-                            name_at(opened.names.kinds, placed.entry.kind), placed.entry.weight);
+        for (const endpoints::KnownEndpoint& member : opened.read.snapshot.endpoints) {
+            const auto& placed = member.record->located;
+            all[placed.endpoint.name] =
+                fmt::format("{} at {} in {} as {}, weight {}", name_of(placed.endpoint.state), placed.address,
+                            name_at(opened.names.zones, placed.endpoint.zone),
+                            name_at(opened.names.kinds, placed.endpoint.kind), placed.endpoint.weight);
         }
         return all;
     };
@@ -240,10 +243,10 @@
     }
     const auto purges = [](const Opened& opened) {
         std::set<std::string> all;
-        for (const membership::Purge& purge : opened.read.list.purges)
-            all.insert(fmt::format("purge of {} at {}",
-                                   purge.object.empty() ? fmt::format("group {}", purge.group) : purge.object,
-                                   purge.at));
+        for (const endpoints::Purge& purge : opened.read.snapshot.purges)
+            all.insert(fmt::format(
+                "purge of {} at {}",
+                purge.object.empty() ? fmt::format("group {}", purge.purge_group) : purge.object, purge.at));
         return all;
     };
     const auto old_purges = purges(old), fresh_purges = purges(fresh);
@@ -251,8 +254,9 @@
         if (!fresh_purges.contains(purge)) fmt::print("- {}\n", purge), differ = true;
     for (const std::string& purge : fresh_purges)
         if (!old_purges.contains(purge)) fmt::print("+ {}\n", purge), differ = true;
-    fmt::print("change log {} -> {}, taken {} apart\n", old.read.list.last_seq, fresh.read.list.last_seq,
-               span(std::abs(fresh.read.list.taken_at - old.read.list.taken_at)));
+    fmt::print("change log {} -> {}, taken {} apart\n", old.read.snapshot.last_sequence,
+               fresh.read.snapshot.last_sequence,
+               span(std::abs(fresh.read.snapshot.taken_at - old.read.snapshot.taken_at)));
     return differ ? 1 : 0;
 }
 
--- a/src/cli/list_command.h
+++ b/src/cli/list_command.h
@@ -13,8 +13,8 @@
     std::vector<std::string>
         words;  // show FILE | verify FILE | diff OLD NEW; a folder stands for its newest file
     bool json = false;
-    std::optional<config::SavedList> settings;  // bands and site; the defaults where nothing is given
-    std::optional<config::Site> site;           // tells which kind is the origin's
+    std::optional<config::EndpointSnapshot> settings;  // bands and site; the defaults where nothing is given
+    std::optional<config::Site> site;                  // tells which kind is the origin's
 };
 
 // 0: done and sound; 1: a file that would be passed over, or lists that differ; 2: wrong words.
--- a/src/cli/recovery_command.cpp
+++ b/src/cli/recovery_command.cpp
@@ -6,10 +6,10 @@
 #include <ctime>
 
 #include "base/files.h"
-#include "base/generations.h"
-#include "cli/ops_call.h"
+#include "base/generation_files.h"
+#include "cli/admin_client.h"
 #include "config/config.h"
-#include "recovery/kept.h"
+#include "recovery/persisted_state.h"
 
 namespace sumackeel::cli {
 
@@ -17,18 +17,18 @@
 
 // Each generation, the newest first; what a start would take is the first sound one.
 int verify(const std::string& folder) {
-    const base::Generations files(folder, "kept-", ".sumkept");
+    const base::GenerationFiles files(folder, "kept-", ".sumkept");
     bool sound = false, newest = true;
-    for (const std::uint64_t generation : files.all()) {
+    for (const std::uint64_t generation : files.generations()) {
         std::string text, fault;
-        recovery::Kept kept;
-        if (base::read_plain(files.path_of(generation), recovery::kLongestKept, text, fault) ==
-            base::Reading::done)
+        recovery::PersistedState kept;
+        if (base::read_regular_file(files.path_of(generation), recovery::kMaxStateBytes, text, fault) ==
+            base::ReadStatus::ok)
             fault = recovery::decode(text, kept);
         if (fault.empty())
             fmt::print("{}: sound, written while {}, {} members, {} bans, drain {}\n",
-                       files.path_of(generation), name_of(kept.stage), kept.members.size(), kept.bans.size(),
-                       kept.drain ? "on" : "off");
+                       files.path_of(generation), name_of(kept.phase), kept.members.size(), kept.bans.size(),
+                       kept.draining ? "on" : "off");
         else
             fmt::print("{}: {}\n", files.path_of(generation), fault);
         sound = sound || (newest && fault.empty());
@@ -41,7 +41,7 @@
 // At the one voter that is left, before it is started again.
 int force(const std::string& folder) {
     const std::string fault =
-        base::put_in_place(folder, "force.new", "force",
+        base::replace_file(folder, "force.new", "force",
                            fmt::format("sumackeel-force 1 {}\n", static_cast<long long>(std::time(nullptr))));
     if (!fault.empty()) throw config::ConfigError(fault);
     fmt::print(
--- a/src/cli/release_command.cpp
+++ b/src/cli/release_command.cpp
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <thread>
 
-#include "cli/ops_call.h"
+#include "cli/admin_client.h"
 #include "config/config.h"
 
 namespace sumackeel::cli {
@@ -82,7 +82,7 @@
     if (word == "wait") return wait(flags);
     const OpsAnswer answer = look ? ops_call(flags.at, "GET", "/ops/release")
                                   : ops_call(flags.at, "POST", "/ops/release/" + word,
-                                             start ? config::file_text(flags.words[1]) : "");
+                                             start ? config::read_file(flags.words[1]) : "");
     if (answer.status == 404) agreed_off(flags.at);
     if (!look || flags.json || answer.status != 200) {
         fmt::print("{}", answer.body);
--- a/src/cli/rollout_command.cpp
+++ b/src/cli/rollout_command.cpp
@@ -7,9 +7,9 @@
 
 #include <algorithm>
 
-#include "cli/ops_call.h"
+#include "cli/admin_client.h"
 #include "config/config.h"
-#include "rollout/rehearsal.h"
+#include "rollout/release_simulation.h"
 
 namespace sumackeel::cli {
 
@@ -43,24 +43,25 @@
     const OpsAnswer answer = ops_call(address, "GET", "/ops/rollout");
     if (answer.status != 200) agreed_off(address);
     const Json::Value root = config::parse(answer.body, address);
-    rollout::Rehearsal given;
-    given.rules.school_out = root["rules"]["school_out"].asInt();
-    given.rules.school_share = root["rules"]["school_share"].asDouble();
-    given.rules.fleet_out = root["rules"]["fleet_out"].asInt();
-    given.rules.between = static_cast<base::Micros>(root["rules"]["between_s"].asDouble() * 1e6);
+    rollout::SimulationPlan given;
+    given.budget.max_unavailable_in_zone = root["rules"]["school_out"].asInt();
+    given.budget.max_zone_weight_share = root["rules"]["school_share"].asDouble();
+    given.budget.max_unavailable = root["rules"]["fleet_out"].asInt();
+    given.budget.min_interval_in_zone =
+        static_cast<base::Micros>(root["rules"]["between_s"].asDouble() * 1e6);
     given.change = static_cast<base::Micros>(flags.change_s * 1e6);
     given.requests_per_s = flags.requests_per_s;
     std::vector<std::string> all;
     for (const Json::Value& one : root["proxies"]) {
-        rollout::Seen seen;
-        seen.name = one["member"].asString(), seen.school = one["school"].asString();
-        seen.weight = one["weight"].asDouble(), seen.out = one["out"].asBool();
-        given.world.push_back(seen);
+        rollout::FleetMember seen;
+        seen.name = one["member"].asString(), seen.zone = one["school"].asString();
+        seen.weight = one["weight"].asDouble(), seen.unavailable = one["out"].asBool();
+        given.fleet.push_back(seen);
         all.push_back(seen.name);
     }
     std::sort(all.begin(), all.end());
-    given.plan = rollout::read_plan(config::file_text(path), path, all);
-    const rollout::Rehearsed end = rollout::rehearse(given);
+    given.plan = rollout::parse_plan(config::read_file(path), path, all);
+    const rollout::SimulationResult end = rollout::simulate_release(given);
     const auto seconds = [](base::Micros span) { return static_cast<double>(span) / 1e6; };
     if (end.took == 0) return fmt::print("it would not start: {}\n", end.reason), false;
     fmt::print("{} after {:.0f} s ({}): {} of {} changed\n", name_of(end.stage), seconds(end.took),
@@ -70,7 +71,7 @@
         100 * end.worst_share, end.worst_school, seconds(end.worst_at), end.most_out);
     if (!end.waited.empty())
         fmt::print("longest wait for a turn: {:.0f} s, {}\n", seconds(end.longest_wait), end.waited);
-    return end.stage == rollout::Stage::done;
+    return end.stage == rollout::ReleaseStage::done;
 }
 
 }  // namespace
--- a/src/cli/store_command.cpp
+++ b/src/cli/store_command.cpp
@@ -12,19 +12,19 @@
 
 constexpr base::Micros kPatience = 5'000'000;
 
-struct Asker : net::Stream::Owner {
+struct Asker : net::Stream::Handler {
     net::Loop& loop;
     std::string question, answer;
 
     Asker(net::Loop& l, std::string q) : loop(l), question(std::move(q)) {}
-    void opened(net::Stream& stream) override { stream.write(question); }
-    void received(net::Stream& stream, std::string_view bytes) override {
+    void on_open(net::Stream& stream) override { stream.write(question); }
+    void on_data(net::Stream& stream, std::string_view bytes) override {
         answer += bytes;
         if (answer.find('\n') == std::string::npos) return;
         stream.close();
         loop.stop();
     }
-    void gone(net::Stream&, net::Gone) override { loop.stop(); }
+    void on_close(net::Stream&, net::DisconnectCause) override { loop.stop(); }
 };
 
 Json::Value question_of(const std::vector<std::string>& words, const StoreFlags& flags) {
@@ -54,15 +54,15 @@
 
 bool store_command(const std::string& address, const std::vector<std::string>& words,
                    const StoreFlags& flags) {
-    const std::string question = base::json_line(question_of(words, flags));
+    const std::string question = base::to_json_line(question_of(words, flags));
     net::Loop loop;
-    net::Budget budget(4);
+    net::SocketBudget budget(4);
     Asker asker(loop, question);
     sockaddr_in to{};
-    if (!net::read_address(address, to)) throw config::ConfigError("no address of a member: " + address);
+    if (!net::parse_address(address, to)) throw config::ConfigError("no address of a member: " + address);
     if (!net::Stream::connect(loop, budget, to, asker))
         throw config::ConfigError("no connection to " + address);
-    loop.deadlines().set(loop.clock().now() + kPatience, [&loop] { loop.stop(); });
+    loop.timers().schedule(loop.clock().now() + kPatience, [&loop] { loop.stop(); });
     loop.run();
     const auto end = asker.answer.find('\n');
     if (end == std::string::npos) throw config::ConfigError(address + " does not answer");
--- a/src/group/share.cpp
+++ b/src/cluster/cluster_size.cpp
@@ -1,12 +1,12 @@
-#include "group/share.h"
+#include "cluster/cluster_size.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace sumackeel::group {
+namespace sumackeel::cluster {
 
-void Share::look(base::Micros now, bool majority, const std::map<std::string, int>& there,
-                 const std::map<std::string, int>& known) {
+void ClusterSize::update(base::Micros now, bool majority, const std::map<std::string, int>& there,
+                         const std::map<std::string, int>& known) {
     const double passed = last_ < 0 ? 0
                                     : static_cast<double>(now - last_) /
                                           static_cast<double>(std::max<base::Micros>(1, settle_));
@@ -25,11 +25,11 @@
     std::erase_if(counts_, [&](const auto& item) { return !known.contains(item.first) && item.second <= 0; });
 }
 
-std::map<std::string, int> Share::counts() const {
+std::map<std::string, int> ClusterSize::counts() const {
     std::map<std::string, int> counts;
     for (const auto& [zone, count] : counts_)
         counts[zone] = std::max(1, static_cast<int>(std::ceil(count - 1e-9)));
     return counts;
 }
 
-}  // namespace sumackeel::group
+}  // namespace sumackeel::cluster
--- a/src/group/share.h
+++ b/src/cluster/cluster_size.h
@@ -8,20 +8,20 @@
 
 #include "base/time.h"
 
-namespace sumackeel::group {
+namespace sumackeel::cluster {
 
-class Share {
+class ClusterSize {
   public:
-    explicit Share(base::Micros settle) : settle_(settle) {}
+    explicit ClusterSize(base::Micros settle) : settle_(settle) {}
 
     // What is counted by zone until the first look, and from where the counts fall.
-    void begin(const std::map<std::string, int>& counts) {
+    void seed(const std::map<std::string, int>& counts) {
         for (const auto& [zone, count] : counts) counts_[zone] = count;
     }
 
     // `there`: members that live, by zone; `known`: those of the group as it was last agreed on.
-    void look(base::Micros now, bool majority, const std::map<std::string, int>& there,
-              const std::map<std::string, int>& known);
+    void update(base::Micros now, bool majority, const std::map<std::string, int>& there,
+                const std::map<std::string, int>& known);
 
     // By zone, never under 1 where a member is known; rounded up.
     std::map<std::string, int> counts() const;
@@ -31,4 +31,4 @@
     std::map<std::string, double> counts_;
 };
 
-}  // namespace sumackeel::group
+}  // namespace sumackeel::cluster
--- a/src/group/group.cpp
+++ b/src/cluster/membership.cpp
@@ -1,10 +1,10 @@
-#include "group/group.h"
+#include "cluster/membership.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace sumackeel::group {
+namespace sumackeel::cluster {
 
 namespace {
 
@@ -22,8 +22,8 @@
 std::string word_key(const std::string& name) {
     return "w " + name;
 }
-std::string doubt_key(const Doubt& doubt) {
-    return "d " + doubt.about + ' ' + doubt.by;
+std::string doubt_key(const Suspicion& doubt) {
+    return "d " + doubt.subject + ' ' + doubt.suspector;
 }
 
 bool add(std::vector<std::string>& tellers, const std::string& teller) {
@@ -55,8 +55,8 @@
     return "?";
 }
 
-Group::Group(const Options& options, const Word& self, std::uint64_t seed, Micros now)
-    : options_(options), self_(self), rng_(seed), now_(now), share_(options.settle) {
+Membership::Membership(const Options& options, const MemberRecord& self, std::uint64_t seed, Micros now)
+    : options_(options), self_(self), rng_(seed), now_(now), cluster_size_(options.settle) {
     self_.phase = Phase::joining;
     due_ = next_probe_ = now + jittered(options_.period) / 2;
     next_exchange_ = now + jittered(options_.exchange_every);
@@ -64,14 +64,14 @@
 
 // What a late call tells: this process did not run. What it was waiting for may have come and gone, so no
 // probe of before is judged, and each suspicion starts over.
-void Group::notice(Micros now) {
+void Membership::notice(Micros now) {
     now_ = std::max(now_, now);
     const Micros late = now_ - due_;
     if (!options_.lifeguard || late <= options_.period / 2) return;
     due_ = now_;
     worse(1);
     if (late <= options_.period) return;
-    ++figures_.pauses;
+    ++metrics_.pauses;
     asked_anew_ = now_;
     probes_.clear();
     next_probe_ = now_;
@@ -81,7 +81,7 @@
     }
 }
 
-void Group::tick(Micros now) {
+void Membership::tick(Micros now) {
     notice(now);
     if (displaced_ || self_.phase == Phase::left) {
         due_ = now_ + options_.period;
@@ -97,7 +97,7 @@
     due_ = std::max(due_, now_);
 }
 
-void Group::next_probe() {
+void Membership::next_probe() {
     ++turn_;
     next_probe_ = now_ + jittered(slow(options_.period));
     while (!round_.empty() || !members_.empty()) {
@@ -136,7 +136,7 @@
 }
 
 // Once in some turns: who is to be forgotten, and how many there are by zone.
-void Group::count() {
+void Membership::count() {
     std::map<std::string, int> there{{self_.zone, 1}}, known{{self_.zone, 1}};
     for (auto& [name, member] : members_) {
         const bool left = member.word.phase == Phase::left;
@@ -148,21 +148,21 @@
         ++known[member.word.zone];
         if (!member.dead) ++there[member.word.zone];
     }
-    share_.look(now_, side() != Side::minority, there, known);
+    cluster_size_.update(now_, side() != PartitionSide::minority, there, known);
 }
 
-void Group::probe(const std::string& target) {
+void Membership::probe(const std::string& target) {
     const std::uint64_t number = ++numbers_;
     Probe& probe = probes_[number];
     probe.target = target;
     probe.sent = now_;
     probe.ask_at = now_ + slow(options_.probe_timeout);
     probe.ends = now_ + slow(options_.period);
-    ++figures_.probes;
-    send(members_.at(target), {.kind = Kind::probe, .number = number}, Urgency::probe);
+    ++metrics_.probes;
+    send(members_.at(target), {.kind = MessageKind::ping, .number = number}, SendPriority::ping);
 }
 
-void Group::look_at_probes() {
+void Membership::look_at_probes() {
     std::vector<std::uint64_t> due;
     for (const auto& [number, probe] : probes_)
         if (now_ >= (probe.asked_others ? probe.ends : std::min(probe.ask_at, probe.ends)))
@@ -172,8 +172,9 @@
         if (!probe.for_whom.empty()) {
             const auto asker = members_.find(probe.for_whom);
             if (asker != members_.end() && options_.lifeguard)
-                send(asker->second, {.kind = Kind::nack, .number = probe.their_number, .about = probe.target},
-                     Urgency::indirect);
+                send(asker->second,
+                     {.kind = MessageKind::nack, .number = probe.their_number, .subject = probe.target},
+                     SendPriority::indirect);
             probes_.erase(number);
         } else if (now_ >= probe.ends) {
             const Probe over = std::move(probe);
@@ -184,16 +185,17 @@
             const auto target = members_.find(probe.target);
             if (target == members_.end() || target->second.dead) continue;
             probe.asked = helpers(probe.target, target->second.through);
-            ++figures_.indirect;
+            ++metrics_.indirect;
             for (const std::string& helper : probe.asked)
-                send(members_.at(helper), {.kind = Kind::ask, .number = number, .about = probe.target},
-                     Urgency::indirect);
+                send(members_.at(helper),
+                     {.kind = MessageKind::ping_request, .number = number, .subject = probe.target},
+                     SendPriority::indirect);
         }
     }
 }
 
 // Whom to ask for a try at `but`: first who reached it last time, then by chance.
-std::vector<std::string> Group::helpers(const std::string& but, const std::string& first) {
+std::vector<std::string> Membership::helpers(const std::string& but, const std::string& first) {
     std::vector<std::string> all, chosen;
     for (const auto& [name, member] : members_)
         if (name != but && name != first && probed(member) && member.shown != State::suspect)
@@ -208,13 +210,13 @@
     return chosen;
 }
 
-void Group::failed(const Probe& probe) {
+void Membership::failed(const Probe& probe) {
     const auto found = members_.find(probe.target);
     if (found == members_.end()) return;
     Member& member = found->second;
     member.asked_at = now_;
     if (!probed(member)) return;
-    ++figures_.failed;
+    ++metrics_.failed;
     member.direct = false;
     // Helpers that say nothing either are a sign that it is us who don't hear; the known silence of one that
     // is doubted already is none.
@@ -232,76 +234,77 @@
     own_doubt(member, true);
 }
 
-void Group::answered(Member& member, const std::string& through) {
+void Membership::answered(Member& member, const std::string& through) {
     member.asked_at = now_;
     member.missed = false;
     member.direct = through.empty();
     member.through = through;
-    health_ = std::max(0, health_ - 1);
+    local_health_ = std::max(0, local_health_ - 1);
     own_doubt(member, false);
 }
 
-bool Group::doubts(const Member& member) const {
+bool Membership::doubts(const Member& member) const {
     const Voice* own = voice_of(member, self_.name);
-    return own && own->counts && own->doubt.on;
+    return own && own->counts && own->doubt.active;
 }
 
-void Group::own_doubt(Member& about, bool on) {
+void Membership::own_doubt(Member& about, bool on) {
     const bool have = doubts(about);
     if (!on && !have) return;
     // Said again while it holds, at once where the member has answered it, but not in each turn.
-    const bool answered = on && have && about.voices.at(self_.name).doubt.stamp < about.word.stamp;
+    const bool answered =
+        on && have && about.voices.at(self_.name).doubt.incarnation < about.word.incarnation;
     const Micros again = answered ? 2 * options_.period : renew_after();
     if (on && have && now_ - about.doubted_at < again) return;
     if (on) about.doubted_at = now_;
-    const Doubt doubt{.by = self_.name,
-                      .about = about.word.name,
-                      .by_start = self_.stamp.start,
-                      .stamp = about.word.stamp,
-                      .number = ++doubts_,
-                      .on = on};
+    const Suspicion doubt{.suspector = self_.name,
+                          .subject = about.word.name,
+                          .suspector_start = self_.incarnation.start,
+                          .incarnation = about.word.incarnation,
+                          .number = ++doubts_,
+                          .active = on};
     set_voice(about, doubt, self_.name);
 }
 
-void Group::receive(Micros now, const Datagram& datagram) {
+void Membership::receive(Micros now, const Datagram& datagram) {
     notice(now);
     if (displaced_ || self_.phase == Phase::left || datagram.from == self_.name) return;
-    if (datagram.words.empty() || datagram.words.front().name != datagram.from) {
-        ++figures_.refused;
+    if (datagram.records.empty() || datagram.records.front().name != datagram.from) {
+        ++metrics_.refused;
         return;
     }
-    for (const Word& word : datagram.words) take_word(word, datagram.from);
+    for (const MemberRecord& word : datagram.records) take_word(word, datagram.from);
     const auto found = members_.find(datagram.from);
     if (displaced_ || found == members_.end()) return;
     Member& sender = found->second;
     // An old datagram of an earlier life says nothing of this one.
-    if (datagram.words.front().stamp.start < sender.word.stamp.start) return;
+    if (datagram.records.front().incarnation.start < sender.word.incarnation.start) return;
     sender.heard = now_;
     if (options_.lifeguard && !sender.dead) {
         sender.missed = false;
         own_doubt(sender, false);
     }
-    for (const Doubt& doubt : datagram.doubts) take_doubt(doubt, datagram.from);
+    for (const Suspicion& doubt : datagram.suspicions) take_doubt(doubt, datagram.from);
     switch (datagram.kind) {
-        case Kind::probe:
-            send(sender, {.kind = Kind::ack, .number = datagram.number}, Urgency::probe);
+        case MessageKind::ping:
+            send(sender, {.kind = MessageKind::ack, .number = datagram.number}, SendPriority::ping);
             break;
-        case Kind::ask: {
-            const auto target = members_.find(datagram.about);
+        case MessageKind::ping_request: {
+            const auto target = members_.find(datagram.subject);
             if (target == members_.end() || probes_.size() >= kMostProbes) break;
             const std::uint64_t number = ++numbers_;
             Probe& probe = probes_[number];
-            probe.target = datagram.about;
+            probe.target = datagram.subject;
             probe.sent = now_;
             probe.ask_at = probe.ends =
                 now_ + static_cast<Micros>(kNackAt * static_cast<double>(options_.probe_timeout));
             probe.for_whom = datagram.from;
             probe.their_number = datagram.number;
             due_ = std::min(due_, probe.ends);
-            send(target->second, {.kind = Kind::probe, .number = number}, Urgency::indirect);
+            send(target->second, {.kind = MessageKind::ping, .number = number}, SendPriority::indirect);
             break;
         }
-        case Kind::ack: {
+        case MessageKind::ack: {
             const auto asked = probes_.find(datagram.number);
             if (asked == probes_.end()) break;  // late, or never asked
             const Probe probe = asked->second;
@@ -311,50 +314,50 @@
                 sender.direct = true;
                 if (const auto asker = members_.find(probe.for_whom); asker != members_.end())
                     send(asker->second,
-                         {.kind = Kind::ack, .number = probe.their_number, .about = probe.target},
-                         Urgency::indirect);
+                         {.kind = MessageKind::ack, .number = probe.their_number, .subject = probe.target},
+                         SendPriority::indirect);
             } else if (probe.target == datagram.from) {
                 probes_.erase(asked);
                 answered(sender, {});
-            } else if (datagram.about == probe.target && std::find(probe.asked.begin(), probe.asked.end(),
-                                                                   datagram.from) != probe.asked.end()) {
+            } else if (datagram.subject == probe.target && std::find(probe.asked.begin(), probe.asked.end(),
+                                                                     datagram.from) != probe.asked.end()) {
                 probes_.erase(asked);
                 if (const auto target = members_.find(probe.target); target != members_.end())
                     answered(target->second, datagram.from);
             }
             break;
         }
-        case Kind::nack: {
+        case MessageKind::nack: {
             const auto asked = probes_.find(datagram.number);
-            if (asked != probes_.end() && asked->second.target == datagram.about) ++asked->second.nacks;
+            if (asked != probes_.end() && asked->second.target == datagram.subject) ++asked->second.nacks;
             break;
         }
-        case Kind::tell:
+        case MessageKind::gossip:
             break;
     }
 }
 
-void Group::merge(Micros now, const Whole& state) {
+void Membership::merge(Micros now, const FullState& state) {
     notice(now);
-    if (displaced_ || state.from == self_.name || state.words.empty() ||
-        state.words.front().name != state.from)
+    if (displaced_ || state.from == self_.name || state.records.empty() ||
+        state.records.front().name != state.from)
         return;
-    ++figures_.merged;
-    for (const Word& word : state.words) take_word(word, state.from);
-    for (const Doubt& doubt : state.doubts) take_doubt(doubt, state.from);
+    ++metrics_.merged;
+    for (const MemberRecord& word : state.records) take_word(word, state.from);
+    for (const Suspicion& doubt : state.suspicions) take_doubt(doubt, state.from);
     if (const auto found = members_.find(state.from); found != members_.end()) found->second.heard = now_;
     met_ = true;
 }
 
-void Group::take_word(const Word& word, const std::string& teller) {
+void Membership::take_word(const MemberRecord& word, const std::string& teller) {
     if (word.name == self_.name) return take_own_name(word, teller);
     auto found = members_.find(word.name);
     if (found == members_.end()) {
-        if (members_.size() >= kMostMembers) {
+        if (members_.size() >= kMaxMembers) {
             const auto old = std::find_if(members_.begin(), members_.end(),
                                           [](const auto& item) { return item.second.forgotten; });
             if (old == members_.end()) {
-                ++figures_.refused;
+                ++metrics_.refused;
                 return;
             }
             doubted_.erase(old->first);
@@ -372,20 +375,20 @@
         return;
     }
     Member& member = found->second;
-    if (word.stamp <= member.word.stamp) return;
+    if (word.incarnation <= member.word.incarnation) return;
     // Danger: one member that is wrong could silence another by a start it never had, or by a leave it never
     // said. Heard at second hand both count only from as many as a death does.
-    const bool grave = word.stamp.start > member.word.stamp.start || word.phase == Phase::left;
+    const bool grave = word.incarnation.start > member.word.incarnation.start || word.phase == Phase::left;
     if (grave && teller != word.name) {
-        if (member.rumour.stamp != word.stamp || member.rumour.phase != word.phase) {
-            if (word.stamp < member.rumour.stamp) return;
+        if (member.rumour.incarnation != word.incarnation || member.rumour.phase != word.phase) {
+            if (word.incarnation < member.rumour.incarnation) return;
             member.rumour = word;
             member.rumour_tellers.clear();
         }
         add(member.rumour_tellers, teller);
         if (member.rumour_tellers.size() < votes()) return;
     }
-    if (word.stamp.start > member.word.stamp.start) {
+    if (word.incarnation.start > member.word.incarnation.start) {
         member.voices.clear();
         doubted_.erase(word.name);
     }
@@ -397,9 +400,9 @@
     if (word.phase == Phase::left) member.gone_since = now_;
     if (member.dead) {
         member.dead = false;
-        ++figures_.revived;
+        ++metrics_.revived;
         // What was said of it belongs to the death that is over; who still can't reach it will say so anew.
-        for (auto& [by, voice] : member.voices) voice.doubt.on = false;
+        for (auto& [by, voice] : member.voices) voice.doubt.active = false;
         // It was away: what it knows and we don't, and the other way round, is worth more than a datagram.
         if (word.phase != Phase::left) exchange_ = word.name;
     }
@@ -408,23 +411,24 @@
 }
 
 // Somebody speaks of a member by this one's name.
-void Group::take_own_name(const Word& word, const std::string& teller) {
-    if (word.life == self_.life) {
+void Membership::take_own_name(const MemberRecord& word, const std::string& teller) {
+    if (word.instance_id == self_.instance_id) {
         // Ours, as others hold it; one that is ahead of us was made up, and we go past it.
-        if (word.stamp.start == self_.stamp.start && word.stamp.incarnation > self_.stamp.incarnation)
-            refute(word.stamp.incarnation);
+        if (word.incarnation.start == self_.incarnation.start &&
+            word.incarnation.refutations > self_.incarnation.refutations)
+            refute(word.incarnation.refutations);
         return;
     }
-    if (word.stamp.start < self_.stamp.start) return;  // an earlier life
+    if (word.incarnation.start < self_.incarnation.start) return;  // an earlier life
     // Another life with our start, or a later one. Before we met anybody it is an earlier life of ours whose
     // number our disk has lost, or a process that we replace: the newcomer goes past it. Later it is a
     // process that has gone past us, and two must not speak as one.
     if (!met_) {
-        wants_start_ = std::max(wants_start_, word.stamp.start + 1);
+        wants_start_ = std::max(wants_start_, word.incarnation.start + 1);
         return;
     }
-    if (word.stamp.start == self_.stamp.start && word.life < self_.life) {
-        wants_start_ = std::max(wants_start_, word.stamp.start + 1);
+    if (word.incarnation.start == self_.incarnation.start && word.instance_id < self_.instance_id) {
+        wants_start_ = std::max(wants_start_, word.incarnation.start + 1);
         return;
     }
     if (word.phase == Phase::left) return;
@@ -432,67 +436,68 @@
     displaced_ = displaced_tellers_.size() >= votes();
 }
 
-void Group::restarted(Micros now, std::uint64_t start) {
+void Membership::set_start(Micros now, std::uint64_t start) {
     notice(now);
-    self_.stamp = {start, 0};
+    self_.incarnation = {start, 0};
     wants_start_ = 0;
 }
 
-void Group::runs(Micros now, const std::string& version) {
-    if (version == self_.version) return;
+void Membership::set_software_version(Micros now, const std::string& version) {
+    if (version == self_.software_version) return;
     notice(now);
-    self_.version = version;
-    ++self_.stamp.incarnation;
+    self_.software_version = version;
+    ++self_.incarnation.refutations;
 }
 
-void Group::take_doubt(const Doubt& doubt, const std::string& teller) {
-    if (doubt.about == self_.name) {
-        if (doubt.on && doubt.stamp.start == self_.stamp.start &&
-            doubt.stamp.incarnation >= self_.stamp.incarnation)
-            refute(doubt.stamp.incarnation);
+void Membership::take_doubt(const Suspicion& doubt, const std::string& teller) {
+    if (doubt.subject == self_.name) {
+        if (doubt.active && doubt.incarnation.start == self_.incarnation.start &&
+            doubt.incarnation.refutations >= self_.incarnation.refutations)
+            refute(doubt.incarnation.refutations);
         return;
     }
-    if (doubt.by == self_.name) return;  // our own come from us
-    const auto about = members_.find(doubt.about), by = members_.find(doubt.by);
+    if (doubt.suspector == self_.name) return;  // our own come from us
+    const auto about = members_.find(doubt.subject), by = members_.find(doubt.suspector);
     if (about == members_.end() || by == members_.end()) {
-        ++figures_.refused;
+        ++metrics_.refused;
         return;
     }
-    if (doubt.stamp.start < about->second.word.stamp.start || doubt.by_start < by->second.word.stamp.start)
+    if (doubt.incarnation.start < about->second.word.incarnation.start ||
+        doubt.suspector_start < by->second.word.incarnation.start)
         return;
     set_voice(about->second, doubt, teller);
 }
 
 // Danger: a voice counts when it comes from the one whose it is, or when as many as a death takes have told
 // it; else one liar could speak for all.
-void Group::set_voice(Member& about, const Doubt& doubt, const std::string& teller) {
-    const auto age = [](const Doubt& d) { return std::pair(d.by_start, d.number); };
-    auto found = about.voices.find(doubt.by);
+void Membership::set_voice(Member& about, const Suspicion& doubt, const std::string& teller) {
+    const auto age = [](const Suspicion& d) { return std::pair(d.suspector_start, d.number); };
+    auto found = about.voices.find(doubt.suspector);
     if (found == about.voices.end()) {
-        if (about.voices.size() >= kMostVoices) {
+        if (about.voices.size() >= kMaxSuspectors) {
             const auto idle = std::find_if(about.voices.begin(), about.voices.end(), [](const auto& item) {
-                return !(item.second.counts && item.second.doubt.on);
+                return !(item.second.counts && item.second.doubt.active);
             });
             if (idle == about.voices.end()) return;  // enough say so already
             about.voices.erase(idle);
         }
-        found = about.voices.emplace(doubt.by, Voice{}).first;
+        found = about.voices.emplace(doubt.suspector, Voice{}).first;
     }
     Voice& voice = found->second;
     // Said again by its owner: it still holds, though it may have lapsed here.
-    if (voice.counts && teller == doubt.by && age(doubt) == age(voice.doubt) && doubt.on) {
-        voice.doubt.on = true;
+    if (voice.counts && teller == doubt.suspector && age(doubt) == age(voice.doubt) && doubt.active) {
+        voice.doubt.active = true;
         voice.counted_at = now_;
         return judge(about);
     }
     if (voice.counts && age(doubt) <= age(voice.doubt)) return;
     if (voice.told != doubt) {
-        if (teller != doubt.by && age(doubt) < age(voice.told)) return;
+        if (teller != doubt.suspector && age(doubt) < age(voice.told)) return;
         voice.told = doubt;
         voice.tellers.clear();
     }
     add(voice.tellers, teller);
-    if (teller != doubt.by && voice.tellers.size() < votes()) return;
+    if (teller != doubt.suspector && voice.tellers.size() < votes()) return;
     voice.counts = true;
     voice.doubt = doubt;
     voice.counted_at = now_;
@@ -500,37 +505,37 @@
     judge(about);
 }
 
-void Group::refute(std::uint64_t over) {
-    self_.stamp.incarnation = over + 1;
-    if (over >= kMostIncarnation / 2)
-        wants_start_ = self_.stamp.start + 1;  // made up: a later start begins anew
-    ++figures_.refuted;
+void Membership::refute(std::uint64_t over) {
+    self_.incarnation.refutations = over + 1;
+    if (over >= kMaxRefutations / 2)
+        wants_start_ = self_.incarnation.start + 1;  // made up: a later start begins anew
+    ++metrics_.refuted;
     worse(1);
 }
 
-std::vector<std::string> Group::doubters(const Member& member, bool newest_word) const {
+std::vector<std::string> Membership::doubters(const Member& member, bool newest_word) const {
     std::vector<std::string> all;
     for (const auto& [by, voice] : member.voices) {
-        if (!voice.counts || !voice.doubt.on) continue;
-        if (newest_word && voice.doubt.stamp < member.word.stamp) continue;
+        if (!voice.counts || !voice.doubt.active) continue;
+        if (newest_word && voice.doubt.incarnation < member.word.incarnation) continue;
         const auto other = members_.find(by);
         if (by == self_.name || (other != members_.end() && probed(other->second))) all.push_back(by);
     }
     return all;
 }
 
-Micros Group::suspicion_of(std::size_t voices) const {
+Micros Membership::suspicion_of(std::size_t voices) const {
     // Probes are stretched by the health count in full; stretched as much here, a death would take minutes.
     const double shortest =
-        static_cast<double>(renew_after()) * (1 + static_cast<double>(health_) / kWorstHealth);
+        static_cast<double>(renew_after()) * (1 + static_cast<double>(local_health_) / kWorstHealth);
     if (!options_.lifeguard) return static_cast<Micros>(shortest);
-    const double most = std::min(kConfirmations, std::max(1.0, static_cast<double>(size()) - 2));
+    const double most = std::min(kConfirmations, std::max(1.0, static_cast<double>(member_count()) - 2));
     const double share = std::min(1.0, std::log1p(static_cast<double>(voices) - 1) / std::log1p(most));
     return static_cast<Micros>(shortest *
                                (options_.suspicion_stretch - (options_.suspicion_stretch - 1) * share));
 }
 
-void Group::judge(Member& member) {
+void Membership::judge(Member& member) {
     if (!member.dead && member.word.phase != Phase::left) {
         const std::size_t voices = doubters(member, true).size();
         if (voices == 0)
@@ -541,7 +546,7 @@
         if (voices >= votes() && asked && now_ - member.pressed >= suspicion_of(voices)) {
             member.dead = true;
             member.gone_since = now_;
-            ++figures_.deaths;
+            ++metrics_.deaths;
             // Said anew: to those that still wait for voices, and to the member itself, should it hear.
             member.doubted_at = now_ - renew_after();
             own_doubt(member, true);
@@ -550,7 +555,7 @@
     show(member);
 }
 
-void Group::show(Member& member) {
+void Membership::show(Member& member) {
     const auto by = doubters(member, false);
     const State state = member.word.phase == Phase::left      ? State::left
                         : member.dead                         ? State::dead
@@ -568,7 +573,7 @@
     size_ = 0;
 }
 
-void Group::judge_all() {
+void Membership::judge_all() {
     const std::vector<std::string> some(doubted_.begin(), doubted_.end());
     for (const std::string& name : some) {
         Member& member = members_.at(name);
@@ -576,21 +581,21 @@
         // where the member has answered it meanwhile. It is kept as ended, so that others' old word of it is
         // known.
         for (auto& [by, voice] : member.voices) {
-            const bool answered = voice.doubt.stamp < member.word.stamp;
+            const bool answered = voice.doubt.incarnation < member.word.incarnation;
             const Micros since = answered ? std::max(voice.counted_at, member.word_at) : voice.counted_at;
             if (by != self_.name && now_ - since > (answered ? 1 : kLapse) * renew_after())
-                voice.doubt.on = false;
+                voice.doubt.active = false;
         }
         judge(member);
     }
 }
 
 // In which a doubt that holds is said anew: in a suspicion that others share, at least once.
-Micros Group::renew_after() const {
+Micros Membership::renew_after() const {
     return static_cast<Micros>(options_.suspicion * log_size() * static_cast<double>(options_.period));
 }
 
-void Group::spread(const std::string& key) {
+void Membership::spread(const std::string& key) {
     const auto old = news_.find(key);
     if (old != news_.end()) {
         order_.erase({-old->second, key});
@@ -601,19 +606,19 @@
     order_.insert({-times, key});
 }
 
-void Group::send(Member& to, Datagram datagram, Urgency urgency) {
+void Membership::send(Member& to, Datagram datagram, SendPriority urgency) {
     datagram.from = self_.name;
     datagram.to = to.word.name;
-    datagram.words.push_back(self_);
-    std::size_t used =
-        kFrameRoom + datagram.from.size() + datagram.to.size() + datagram.about.size() + room_of(self_);
+    datagram.records.push_back(self_);
+    std::size_t used = kFrameRoom + datagram.from.size() + datagram.to.size() + datagram.subject.size() +
+                       max_encoded_size(self_);
     // The buddy: who is doubted hears of it with the first datagram that reaches it. A dead one hears it too,
     // and so can say that it lives.
     if (options_.lifeguard || to.dead)
         for (const auto& [by, voice] : to.voices)
-            if (voice.counts && voice.doubt.on && voice.doubt.stamp >= to.word.stamp) {
-                datagram.doubts.push_back(voice.doubt);
-                used += room_of(voice.doubt);
+            if (voice.counts && voice.doubt.active && voice.doubt.incarnation >= to.word.incarnation) {
+                datagram.suspicions.push_back(voice.doubt);
+                used += max_encoded_size(voice.doubt);
                 break;
             }
     add_news(to, datagram, used);
@@ -622,7 +627,7 @@
 
 // News, the least told first; it ends once it was told as often as it is owed, or there is nothing left to
 // tell.
-void Group::add_news(const Member& to, Datagram& datagram, std::size_t used) {
+void Membership::add_news(const Member& to, Datagram& datagram, std::size_t used) {
     if (to.dead) return;  // it would be told to nobody
     std::vector<std::pair<int, std::string>> told, over;
     for (const auto& [times, key] : order_) {
@@ -632,9 +637,9 @@
                 over.emplace_back(times, key);
                 continue;
             }
-            const Word& word = member->second.word;
-            if (used + room_of(word) > kMostDatagram) break;
-            if (word.name != to.word.name) datagram.words.push_back(word), used += room_of(word);
+            const MemberRecord& word = member->second.word;
+            if (used + max_encoded_size(word) > kMaxDatagramBytes) break;
+            if (word.name != to.word.name) datagram.records.push_back(word), used += max_encoded_size(word);
         } else {
             const auto gap = key.find(' ', 2);
             const auto member = members_.find(key.substr(2, gap - 2));
@@ -644,8 +649,8 @@
                 over.emplace_back(times, key);
                 continue;
             }
-            if (used + room_of(voice->doubt) > kMostDatagram) break;
-            datagram.doubts.push_back(voice->doubt), used += room_of(voice->doubt);
+            if (used + max_encoded_size(voice->doubt) > kMaxDatagramBytes) break;
+            datagram.suspicions.push_back(voice->doubt), used += max_encoded_size(voice->doubt);
         }
         told.emplace_back(times, key);
     }
@@ -659,38 +664,39 @@
     for (const auto& item : over) order_.erase(item), news_.erase(item.second);
 }
 
-const Group::Voice* Group::voice_of(const Member& member, const std::string& by) {
+const Membership::Voice* Membership::voice_of(const Member& member, const std::string& by) {
     const auto found = member.voices.find(by);
     return found == member.voices.end() ? nullptr : &found->second;
 }
 
-std::uint64_t Group::digest() const {
-    std::map<std::string_view, const Word*> words{{self_.name, &self_}};
+std::uint64_t Membership::digest() const {
+    std::map<std::string_view, const MemberRecord*> words{{self_.name, &self_}};
     for (const auto& [name, member] : members_)
         if (!member.forgotten) words[name] = &member.word;
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const auto& [name, word] : words) {
         hash = mixed(hash, name);
-        hash = mixed(hash, std::to_string(word->stamp.start) + ' ' + std::to_string(word->stamp.incarnation) +
-                               ' ' + std::to_string(static_cast<int>(word->phase)));
+        hash = mixed(hash, std::to_string(word->incarnation.start) + ' ' +
+                               std::to_string(word->incarnation.refutations) + ' ' +
+                               std::to_string(static_cast<int>(word->phase)));
         const auto member = members_.find(word->name);
         if (member != members_.end() && member->second.dead) hash = mixed(hash, "dead");
     }
     return hash;
 }
 
-Whole Group::whole() const {
-    Whole state{.from = self_.name, .words = {self_}, .doubts = {}};
+FullState Membership::full_state() const {
+    FullState state{.from = self_.name, .records = {self_}, .suspicions = {}};
     for (const auto& [name, member] : members_) {
         if (member.forgotten) continue;
-        state.words.push_back(member.word);
+        state.records.push_back(member.word);
         for (const auto& [by, voice] : member.voices)
-            if (voice.counts) state.doubts.push_back(voice.doubt);
+            if (voice.counts) state.suspicions.push_back(voice.doubt);
     }
     return state;
 }
 
-void Group::pick_exchange() {
+void Membership::pick_exchange() {
     next_exchange_ = now_ + jittered(options_.exchange_every);
     std::vector<std::string> all;
     for (const auto& [name, member] : members_)
@@ -698,55 +704,56 @@
     if (!all.empty()) exchange_ = all[rng_() % all.size()];
 }
 
-std::optional<std::string> Group::take_exchange() {
+std::optional<std::string> Membership::take_exchange() {
     return std::exchange(exchange_, std::nullopt);
 }
 
-void Group::joined(Micros now) {
+void Membership::mark_joined(Micros now) {
     notice(now);
     if (self_.phase != Phase::joining) return;
     self_.phase = Phase::alive;
-    ++self_.stamp.incarnation;
+    ++self_.incarnation.refutations;
 }
 
-void Group::leave(Micros now) {
+void Membership::leave(Micros now) {
     notice(now);
     if (displaced_ || self_.phase == Phase::left) return;
     self_.phase = Phase::left;
-    ++self_.stamp.incarnation;
+    ++self_.incarnation.refutations;
     std::vector<std::string> all;
     for (const auto& [name, member] : members_)
         if (probed(member)) all.push_back(name);
     std::shuffle(all.begin(), all.end(), rng_);
     if (all.size() > kLeaveTold) all.resize(kLeaveTold);
-    for (const std::string& name : all) send(members_.at(name), {.kind = Kind::tell}, Urgency::probe);
+    for (const std::string& name : all)
+        send(members_.at(name), {.kind = MessageKind::gossip}, SendPriority::ping);
 }
 
-std::vector<Seen> Group::seen() const {
-    std::vector<Seen> all;
+std::vector<MemberView> Membership::members() const {
+    std::vector<MemberView> all;
     for (const auto& [name, member] : members_)
         if (!member.forgotten)
-            all.push_back({.word = member.word,
+            all.push_back({.record = member.word,
                            .state = member.shown,
                            .since = member.since,
-                           .heard = member.heard,
-                           .doubters = doubters(member, false),
-                           .direct = member.direct});
+                           .last_heard = member.heard,
+                           .suspectors = doubters(member, false),
+                           .directly_reachable = member.direct});
     return all;
 }
 
-std::optional<State> Group::state_of(const std::string& name) const {
+std::optional<State> Membership::state_of(const std::string& name) const {
     const auto found = members_.find(name);
     if (found == members_.end() || found->second.forgotten) return std::nullopt;
     return found->second.shown;
 }
 
-std::string Group::address_of(const std::string& name) const {
+std::string Membership::address_of(const std::string& name) const {
     const auto found = members_.find(name);
     return found == members_.end() ? "" : found->second.word.address;
 }
 
-std::size_t Group::size() const {
+std::size_t Membership::member_count() const {
     if (size_ == 0) {
         size_ = 1;
         for (const auto& [name, member] : members_)
@@ -755,7 +762,7 @@
     return size_;
 }
 
-std::size_t Group::reached() const {
+std::size_t Membership::reachable_count() const {
     std::size_t count = 1;
     for (const auto& [name, member] : members_) {
         if (!probed(member)) continue;
@@ -766,31 +773,31 @@
     return count;
 }
 
-Side Group::side() const {
-    if (size() <= 1) return Side::alone;
-    return reached() * 2 > size() ? Side::majority : Side::minority;
+PartitionSide Membership::side() const {
+    if (member_count() <= 1) return PartitionSide::alone;
+    return reachable_count() * 2 > member_count() ? PartitionSide::majority : PartitionSide::minority;
 }
 
-std::size_t Group::votes() const {
+std::size_t Membership::votes() const {
     if (!options_.lifeguard) return 1;
-    return std::min(static_cast<std::size_t>(options_.votes), std::max<std::size_t>(1, size() - 1));
+    return std::min(static_cast<std::size_t>(options_.votes), std::max<std::size_t>(1, member_count() - 1));
 }
 
-bool Group::probed(const Member& member) const {
+bool Membership::probed(const Member& member) const {
     return !member.dead && !member.forgotten && member.word.phase != Phase::left;
 }
 
-double Group::log_size() const {
-    return std::max(1.0, std::log10(static_cast<double>(size())));
+double Membership::log_size() const {
+    return std::max(1.0, std::log10(static_cast<double>(member_count())));
 }
 
-void Group::worse(int by) {
-    if (options_.lifeguard) health_ = std::min(kWorstHealth, health_ + by);
+void Membership::worse(int by) {
+    if (options_.lifeguard) local_health_ = std::min(kWorstHealth, local_health_ + by);
 }
 
 // Up to a tenth less: members that start together do not stay in step.
-Micros Group::jittered(Micros span) {
+Micros Membership::jittered(Micros span) {
     return span - static_cast<Micros>(rng_() % static_cast<std::uint64_t>(std::max<Micros>(1, span / 10)));
 }
 
-}  // namespace sumackeel::group
+}  // namespace sumackeel::cluster
--- a/src/group/group.h
+++ b/src/cluster/membership.h
@@ -19,13 +19,13 @@
 #include <utility>
 #include <vector>
 
-#include "group/messages.h"
-#include "group/share.h"
+#include "cluster/cluster_size.h"
+#include "cluster/messages.h"
 
-namespace sumackeel::group {
+namespace sumackeel::cluster {
 
-constexpr std::size_t kMostMembers = 4'096;
-constexpr std::size_t kMostVoices = 8;
+constexpr std::size_t kMaxMembers = 4'096;
+constexpr std::size_t kMaxSuspectors = 8;
 constexpr int kWorstHealth = 8;  // the local health count goes from 0, sound, to this
 
 enum class State { joining, alive, suspect, dead, left };
@@ -48,31 +48,31 @@
 };
 
 // One member for those who look.
-struct Seen {
-    Word word;
+struct MemberView {
+    MemberRecord record;
     State state = State::joining;
-    Micros since = 0;                   // in this state
-    Micros heard = -1;                  // when a datagram of its own came last; -1: never
-    std::vector<std::string> doubters;  // whose voices count now
-    bool direct = true;                 // answers our own probes; false: only through others, or not at all
+    Micros since = 0;                     // in this state
+    Micros last_heard = -1;               // when a datagram of its own came last; -1: never
+    std::vector<std::string> suspectors;  // whose voices count now
+    bool directly_reachable = true;       // answers our own probes; false: only through others, or not at all
 };
 
-enum class Side { alone, minority, majority };  // alone: no other member is known
+enum class PartitionSide { alone, minority, majority };  // alone: no other member is known
 
-struct Change {  // for the log
+struct MemberChange {  // for the log
     std::string member;
     State from = State::joining, to = State::joining;
-    std::vector<std::string> doubters;
+    std::vector<std::string> suspectors;
 };
 
-struct Figures {
+struct Metrics {
     std::uint64_t probes = 0, failed = 0, indirect = 0, refuted = 0, pauses = 0, deaths = 0, revived = 0,
                   merged = 0, refused = 0;  // refused: words or doubts that could not be kept
 };
 
-class Group {
+class Membership {
   public:
-    Group(const Options& options, const Word& self, std::uint64_t seed, Micros now);
+    Membership(const Options& options, const MemberRecord& self, std::uint64_t seed, Micros now);
 
     // Does what is due. Call it at due(); late calls are noticed and read as a pause.
     void tick(Micros now);
@@ -81,48 +81,48 @@
     void receive(Micros now, const Datagram& datagram);
     // Exchanges of whole states. The digest is equal for members that know the same.
     std::uint64_t digest() const;
-    Whole whole() const;
-    void merge(Micros now, const Whole& state);
+    FullState full_state() const;
+    void merge(Micros now, const FullState& state);
     // With whom to exchange states now: set when one is due; taken once.
     std::optional<std::string> take_exchange();
     // The first exchange is done, or there is nobody to have one with.
-    void joined(Micros now);
+    void mark_joined(Micros now);
     // Tells all reachable members, as far as a few datagrams go, that this one leaves.
     void leave(Micros now);
 
-    std::vector<Outgoing> take_out() { return std::exchange(out_, {}); }
-    std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
+    std::vector<OutgoingDatagram> take_outgoing() { return std::exchange(out_, {}); }
+    std::vector<MemberChange> take_changes() { return std::exchange(changes_, {}); }
 
-    const Word& self() const { return self_; }
+    const MemberRecord& self() const { return self_; }
     // Another process uses this name with a later start; this one has gone silent.
-    bool displaced() const { return displaced_; }
+    bool is_displaced() const { return displaced_; }
     // Its own start number is to be raised to this on disk, after which restarted() is called; 0: no.
-    std::uint64_t wants_start() const { return wants_start_; }
-    void restarted(Micros now, std::uint64_t start);
+    std::uint64_t requested_start() const { return wants_start_; }
+    void set_start(Micros now, std::uint64_t start);
     // Runs another version from now on: a fresher word of its own.
-    void runs(Micros now, const std::string& version);
-    int health() const { return health_; }
-    std::vector<Seen> seen() const;
+    void set_software_version(Micros now, const std::string& version);
+    int local_health() const { return local_health_; }
+    std::vector<MemberView> members() const;
     std::optional<State> state_of(const std::string& name) const;
     std::string address_of(const std::string& name) const;  // empty: not known
-    std::size_t size() const;     // members that neither left nor were forgotten, this one too
-    std::size_t reached() const;  // those of them that neither are dead nor doubted by this one
-    Side side() const;
-    const Share& share() const { return share_; }
+    std::size_t member_count() const;     // members that neither left nor were forgotten, this one too
+    std::size_t reachable_count() const;  // those of them that neither are dead nor doubted by this one
+    PartitionSide side() const;
+    const ClusterSize& cluster_size() const { return cluster_size_; }
     // What the settings say by zone, until the group knows better.
-    void count_from(const std::map<std::string, int>& by_zone) { share_.begin(by_zone); }
-    const Figures& figures() const { return figures_; }
+    void seed_cluster_size(const std::map<std::string, int>& by_zone) { cluster_size_.seed(by_zone); }
+    const Metrics& metrics() const { return metrics_; }
 
   private:
     struct Voice {
-        Doubt doubt;                       // as it counts
-        Doubt told;                        // the newest heard of, which may not count yet
+        Suspicion doubt;                   // as it counts
+        Suspicion told;                    // the newest heard of, which may not count yet
         std::vector<std::string> tellers;  // who told of that, up to as many as count
         Micros counted_at = 0;
         bool counts = false;
     };
     struct Member {
-        Word word;
+        MemberRecord word;
         std::map<std::string, Voice> voices;  // by whose they are
         State shown = State::joining;
         Micros since = 0, heard = -1, word_at = 0;
@@ -132,7 +132,7 @@
         Micros doubted_at = 0;  // our own last doubt
         bool dead = false, direct = true, forgotten = false, missed = false;
         std::string through;  // who reached it last where we did not
-        Word rumour;          // a later start, or a leave, that too few have told yet
+        MemberRecord rumour;  // a later start, or a leave, that too few have told yet
         std::vector<std::string> rumour_tellers;
     };
     struct Probe {
@@ -152,15 +152,15 @@
     void look_at_probes();
     void failed(const Probe& probe);
     void answered(Member& member, const std::string& through);
-    void send(Member& to, Datagram datagram, Urgency urgency);
+    void send(Member& to, Datagram datagram, SendPriority urgency);
     void add_news(const Member& to, Datagram& datagram, std::size_t used);
     static const Voice* voice_of(const Member& member, const std::string& by);
-    void take_word(const Word& word, const std::string& teller);
-    void take_own_name(const Word& word, const std::string& teller);
-    void take_doubt(const Doubt& doubt, const std::string& teller);
+    void take_word(const MemberRecord& word, const std::string& teller);
+    void take_own_name(const MemberRecord& word, const std::string& teller);
+    void take_doubt(const Suspicion& doubt, const std::string& teller);
     void own_doubt(Member& about, bool on);
     bool doubts(const Member& member) const;  // this one, by a voice of its own
-    void set_voice(Member& about, const Doubt& doubt, const std::string& teller);
+    void set_voice(Member& about, const Suspicion& doubt, const std::string& teller);
     void judge(Member& member);
     void show(Member& member);
     void judge_all();
@@ -175,12 +175,12 @@
     bool probed(const Member& member) const;
     std::vector<std::string> helpers(const std::string& but, const std::string& first);
     double log_size() const;
-    Micros slow(Micros span) const { return span * (1 + health_); }
+    Micros slow(Micros span) const { return span * (1 + local_health_); }
     void worse(int by);
     Micros jittered(Micros span);
 
     const Options options_;
-    Word self_;
+    MemberRecord self_;
     std::mt19937_64 rng_;
     Micros now_ = 0, due_ = 0, next_probe_ = 0, next_exchange_ = 0, asked_anew_ = 0;
     std::map<std::string, Member> members_;  // all but this one
@@ -192,15 +192,15 @@
     std::map<std::string, int> news_;  // "w NAME" a word, "d ABOUT BY" a doubt: times still to be told
     std::set<std::pair<int, std::string>> order_;  // the same, the least told first
     std::optional<std::string> exchange_;
-    std::vector<Outgoing> out_;
-    std::vector<Change> changes_;
-    int health_ = 0;
+    std::vector<OutgoingDatagram> out_;
+    std::vector<MemberChange> changes_;
+    int local_health_ = 0;
     bool displaced_ = false, met_ = false;  // met_: has heard all that another one knows
     std::vector<std::string> displaced_tellers_;
     std::uint64_t wants_start_ = 0, turn_ = 0;
     mutable std::size_t size_ = 0;  // 0: to be counted anew
-    Share share_;
-    Figures figures_;
+    ClusterSize cluster_size_;
+    Metrics metrics_;
 };
 
-}  // namespace sumackeel::group
+}  // namespace sumackeel::cluster
--- a/src/group/virtual_net.h
+++ b/src/cluster/virtual_network.h
@@ -14,13 +14,13 @@
 #include <utility>
 #include <vector>
 
-#include "group/group.h"
+#include "cluster/membership.h"
 
-namespace sumackeel::group {
+namespace sumackeel::cluster {
 
-struct NetOptions {
+struct VirtualNetworkOptions {
     int members = 5;
-    Options group;
+    Options membership;
     std::uint64_t seed = 1;
     double loss = 0;       // of datagrams
     Micros delay = 1'000;  // one way
@@ -28,13 +28,13 @@
     bool formed = true;  // all know each other at the beginning; else each joins through the first
 };
 
-class VirtualNet {
+class VirtualNetwork {
   public:
-    explicit VirtualNet(const NetOptions& options);
+    explicit VirtualNetwork(const VirtualNetworkOptions& options);
 
     void run_until(Micros at);
     Micros now() const { return now_; }
-    Group& at(int member) { return *nodes_[static_cast<std::size_t>(member)].group; }
+    Membership& at(int member) { return *nodes_[static_cast<std::size_t>(member)].group; }
     int size() const { return static_cast<int>(nodes_.size()); }
     static std::string name_of(int member);
 
@@ -49,7 +49,7 @@
     bool paused(int member) const { return nodes_[static_cast<std::size_t>(member)].paused; }
 
     // Told of each change that a member sees, and of each datagram before it is sent.
-    std::function<void(int seer, const Change& change)> on_change;
+    std::function<void(int seer, const MemberChange& change)> on_change;
     std::function<void(int from, const Datagram& datagram)> on_send;
     // A datagram out of nowhere, as from a member that lies or a replay.
     void inject(int to, const Datagram& datagram);
@@ -60,7 +60,7 @@
 
   private:
     struct Node {
-        std::unique_ptr<Group> group;
+        std::unique_ptr<Membership> group;
         bool running = false, paused = false;
         std::uint64_t start = 0, bytes = 0;
         Micros ticks_at = -1;
@@ -83,7 +83,7 @@
     int member_of(const std::string& name) const;
     bool linked(int a, int b) const { return !cuts_.contains({a, b}) && !cuts_.contains({b, a}); }
 
-    NetOptions options_;
+    VirtualNetworkOptions options_;
     std::mt19937_64 rng_;
     Micros now_ = 0;
     std::uint64_t orders_ = 0;
@@ -92,4 +92,4 @@
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
 };
 
-}  // namespace sumackeel::group
+}  // namespace sumackeel::cluster
--- a/src/peers/wire.h
+++ b/src/cluster_transport/message_codec.h
@@ -10,15 +10,15 @@
 #include <string_view>
 #include <vector>
 
-#include "group/messages.h"
+#include "cluster/messages.h"
 
-namespace sumackeel::peers {
+namespace sumackeel::cluster_transport {
 
-constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kLongestDatagram = 1'400;  // beyond any that is sent
-constexpr std::size_t kLongestFrame = 4 << 20;   // a whole state of kMostMembers fits
-constexpr std::size_t kLongestGroup = 40;
-constexpr std::size_t kLeastKey = 16;  // bytes
+constexpr std::uint8_t kProtocolVersion = 1;
+constexpr std::size_t kMaxDatagramBytes = 1'400;  // beyond any that is sent
+constexpr std::size_t kMaxFrameBytes = 4 << 20;   // a whole state of kMostMembers fits
+constexpr std::size_t kMaxClusterNameLength = 40;
+constexpr std::size_t kMinKeyBytes = 16;  // bytes
 
 // The first key codes what is sent, all of them check what comes: so a key is changed in two steps.
 struct Keys {
@@ -27,54 +27,56 @@
 // A key a line, kLeastKey bytes at least. Throws ConfigError.
 Keys load_keys(const std::string& path);
 
-enum class Bad { malformed, foreign, code, replayed, oversized };
-constexpr int kBads = 5;
-const char* name_of(Bad bad);
+enum class DecodeError { malformed, wrong_protocol, wrong_mac, replayed, oversized };
+constexpr int kDecodeErrorCount = 5;
+const char* name_of(DecodeError bad);
 
 // One datagram with what makes it unlike all others of its sender.
-struct Numbered {
-    group::Datagram datagram;
+struct SequencedDatagram {
+    cluster::Datagram datagram;
     std::uint64_t start = 0, sequence = 0;
 };
 
 // A step of an exchange of whole states.
-enum class Step : std::uint8_t { hello = 1, same = 2, state = 3 };
-struct Frame {
-    Step step = Step::hello;
+enum class ExchangeStep : std::uint8_t { hello = 1, same = 2, state = 3 };
+struct ExchangeFrame {
+    ExchangeStep step = ExchangeStep::hello;
     std::string to;  // empty: whoever listens there, from one that joins
     std::uint64_t digest = 0;
-    group::Whole whole;  // `from` always; the rest in a state
+    cluster::FullState state;  // `from` always; the rest in a state
 };
 
 // A question to one member and its answer, each in a frame of its own on a stream.
-struct Call {
+struct CallFrame {
     std::string from, to;
     std::uint64_t start = 0, sequence = 0;  // of the one that asks: no question is taken twice
-    bool answer = false;                    // else a question
-    std::string verb, body;
+    bool is_response = false;               // else a question
+    std::string method, body;
 };
-constexpr std::size_t kLongestCall = 4 << 20;
+constexpr std::size_t kMaxCallBytes = 4 << 20;
 
-class Codec {
+class MessageCodec {
   public:
-    Codec(std::string group, Keys keys) : group_(std::move(group)), keys_(std::move(keys)) {}
+    MessageCodec(std::string group, Keys keys) : group_(std::move(group)), keys_(std::move(keys)) {}
 
-    std::string datagram(const Numbered& numbered) const;
+    std::string encode_datagram(const SequencedDatagram& numbered) const;
     // With its length before it.
-    std::string frame(const Frame& frame) const;
+    std::string encode_frame(const ExchangeFrame& frame) const;
     // None: `bad` says why.
-    std::optional<Numbered> read_datagram(std::string_view bytes, Bad& bad) const;
-    std::optional<Frame> read_frame(std::string_view bytes, Bad& bad) const;  // without its length
-    std::string call(const Call& call) const;                                 // with its length before it
-    std::optional<Call> read_call(std::string_view bytes, Bad& bad) const;    // without its length
-    static bool is_call(std::string_view bytes);                              // by its head alone
+    std::optional<SequencedDatagram> decode_datagram(std::string_view bytes, DecodeError& bad) const;
+    std::optional<ExchangeFrame> decode_frame(std::string_view bytes,
+                                              DecodeError& bad) const;  // without its length
+    std::string encode_call(const CallFrame& call) const;               // with its length before it
+    std::optional<CallFrame> decode_call(std::string_view bytes,
+                                         DecodeError& bad) const;  // without its length
+    static bool is_call(std::string_view bytes);                   // by its head alone
     // The code of something by the first key, and whether a code is one by any of them.
-    std::string code(std::string_view text) const;
-    bool holds(std::string_view text, std::string_view code) const;
+    std::string mac_of(std::string_view text) const;
+    bool verify_mac(std::string_view text, std::string_view code) const;
 
   private:
     std::string sealed(std::uint8_t type, std::string_view body) const;
-    std::optional<std::string_view> opened(std::uint8_t type, std::string_view bytes, Bad& bad) const;
+    std::optional<std::string_view> opened(std::uint8_t type, std::string_view bytes, DecodeError& bad) const;
 
     std::string group_;
     Keys keys_;
@@ -87,9 +89,9 @@
 
 // Which datagrams of each sender have come: a second one, one of an earlier start and one too far behind are
 // replayed. Bounded by the number of members.
-class Seen {
+class ReplayFilter {
   public:
-    bool fresh(const std::string& from, std::uint64_t start, std::uint64_t sequence);
+    bool accept(const std::string& from, std::uint64_t start, std::uint64_t sequence);
 
   private:
     struct Window {
@@ -100,4 +102,4 @@
     std::uint64_t uses_ = 0;
 };
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::cluster_transport
--- a/src/peers/meter.h
+++ b/src/cluster_transport/rate_limiter.h
@@ -6,19 +6,19 @@
 
 #include "base/time.h"
 
-namespace sumackeel::peers {
+namespace sumackeel::cluster_transport {
 
-class Meter {
+class RateLimiter {
   public:
-    explicit Meter(double bytes_per_s) : rate_(bytes_per_s), left_(bytes_per_s) {}
+    explicit RateLimiter(double bytes_per_s) : rate_(bytes_per_s), left_(bytes_per_s) {}
 
     // What may be sent now; below 0 after a debt.
-    double left(base::Micros now) {
+    double available(base::Micros now) {
         if (last_ >= 0) left_ = std::min(rate_, left_ + rate_ * static_cast<double>(now - last_) / 1e6);
         last_ = now;
         return left_;
     }
-    double share(base::Micros now) { return left(now) / rate_; }
+    double share(base::Micros now) { return available(now) / rate_; }
     void spend(std::size_t bytes) { left_ -= static_cast<double>(bytes); }
 
   private:
@@ -26,4 +26,4 @@
     base::Micros last_ = -1;
 };
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::cluster_transport
--- a/src/peers/start_number.cpp
+++ b/src/cluster_transport/start_number.cpp
@@ -1,4 +1,4 @@
-#include "peers/start_number.h"
+#include "cluster_transport/start_number.h"
 
 #define XXH_INLINE_ALL
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 #include "base/files.h"
 #include "base/system_error.h"
 
-namespace sumackeel::peers {
+namespace sumackeel::cluster_transport {
 
 namespace {
 
@@ -28,15 +28,15 @@
 std::uint64_t StartNumber::read(std::string& fault) const {
     const std::string path = folder_ + '/' + kName;
     std::string bytes;
-    base::Reading reading{};
-    base::retry_folder_at_start([&] {
-        reading = base::read_plain(path, kLongest, bytes, fault);
-        return reading == base::Reading::unreadable ? fault : std::string{};
+    base::ReadStatus reading{};
+    base::retry_directory_at_startup([&] {
+        reading = base::read_regular_file(path, kLongest, bytes, fault);
+        return reading == base::ReadStatus::unreadable ? fault : std::string{};
     });
     switch (reading) {
-        case base::Reading::done:
+        case base::ReadStatus::ok:
             break;
-        case base::Reading::missing:
+        case base::ReadStatus::missing:
             fault.clear();
             return 0;
         default:
@@ -56,7 +56,7 @@
 }
 
 std::string StartNumber::write(std::uint64_t number) const {
-    return base::put_in_place(folder_, "start.tmp", kName, text_of(number));
+    return base::replace_file(folder_, "start.tmp", kName, text_of(number));
 }
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::cluster_transport
--- a/src/peers/start_number.h
+++ b/src/cluster_transport/start_number.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace sumackeel::peers {
+namespace sumackeel::cluster_transport {
 
 class StartNumber {
   public:
@@ -22,4 +22,4 @@
     std::string folder_;
 };
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::cluster_transport
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "nettlethread/router.h"
+#include "routing/router.h"
 
 namespace sumackeel::config {
 
@@ -30,29 +30,29 @@
 
 // The settings of an instance with the names that go with their numbers.
 struct Site {
-    nettlethread::Settings settings;
+    routing::Settings settings;
     std::vector<std::string> classes, zones, kinds, tenants;
     double handshake_price = 0;  // of the result, for one new connection with each request
     int streams_per_conn = 100;
-    nettlethread::Micros keepalive = 0;  // idle connections are closed after this
+    routing::Micros keepalive = 0;  // idle connections are closed after this
 };
 
-struct Placed {  // a member of the fleet and where it listens
-    nettlethread::CacheEntry entry;
+struct LocatedEndpoint {  // a member of the fleet and where it listens
+    routing::Endpoint endpoint;
     std::string address;
 };
 
 // One numbered event of the change log.
-struct Change {
-    std::int64_t seq = 0;
-    bool has_fleet = false, has_purge = false;
-    bool whole = false;
+struct WatchEvent {
+    std::int64_t sequence = 0;
+    bool has_endpoints = false, has_purge = false;
+    bool is_full_list = false;
     std::int64_t version = 0;
-    std::vector<Placed> members;
-    int group = 0;
+    std::vector<LocatedEndpoint> endpoints;
+    int purge_group = 0;
     std::string object;
-    base::UnixTime purge_time;           // as the wire tells it
-    nettlethread::Micros purged_at = 0;  // the same on the clock of who hears it; set there
+    base::UnixTime purge_time;      // as the wire tells it
+    routing::Micros purged_at = 0;  // the same on the clock of who hears it; set there
 };
 
 struct Config {
@@ -64,16 +64,16 @@
     int memory_mb = 192;
     Site site;
     std::int64_t known_seq = 0;
-    std::vector<Change> known;
+    std::vector<WatchEvent> known;
 };
 
 // All throw ConfigError with one plain line.
-std::string file_text(const std::string& path);  // 256 MiB at most; an empty file is none
+std::string read_file(const std::string& path);  // 256 MiB at most; an empty file is none
 Json::Value parse(const std::string& text, const std::string& what);
-Site read_site(const Json::Value& params);
-Site read_site(const std::string& params);  // as text
-Change read_change(const Json::Value& event, const Site& site);
-Config read_config(const std::string& text);
+Site parse_site(const Json::Value& params);
+Site parse_site(const std::string& params);  // as text
+WatchEvent parse_watch_event(const Json::Value& event, const Site& site);
+Config parse_config(const std::string& text);
 Config load_config(const std::string& path);
 
 }  // namespace sumackeel::config
--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -329,12 +329,12 @@
   public:
     explicit Checker(std::string file) : found_(std::move(file)) {}
 
-    void complain(Place at, const std::string& name, const std::string& what) {
-        found_.complain(at, name + ": " + what);
+    void complain(SourceLocation at, const std::string& name, const std::string& what) {
+        found_.add(at, name + ": " + what);
     }
-    void finish() { found_.finish(); }
+    void finish() { found_.throw_if_any(); }
 
-    void table(const Node::Table& table, const std::string& section, Place at) {
+    void table(const Node::Table& table, const std::string& section, SourceLocation at) {
         for (const auto& [name, node] : table) {
             const Key* key = key_of(section, name);
             const bool is_section = section.empty() && is_section_name(name);
@@ -374,7 +374,7 @@
         return best.empty() ? "" : ", did you mean " + best + "?";
     }
 
-    Gathered found_;
+    ValidationErrorCollector found_;
 };
 
 // The default of a key, read as TOML like any value.
@@ -430,18 +430,18 @@
 
 }  // namespace
 
-void Gathered::complain(Place at, const std::string& what) {
+void ValidationErrorCollector::add(SourceLocation at, const std::string& what) {
     lines_.emplace_back(std::pair(at.line, at.column),
                         fmt::format("{}:{}:{}: {}", file_, at.line, at.column, what));
 }
 
-void Gathered::finish() {
+void ValidationErrorCollector::throw_if_any() {
     if (lines_.empty()) return;
     std::stable_sort(lines_.begin(), lines_.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
     std::vector<std::string> texts;
     for (auto& [at, text] : lines_) texts.push_back(std::move(text));
-    throw Complaints(std::move(texts));
+    throw ValidationErrors(std::move(texts));
 }
 
 Settings check(Node root, const std::string& file) {
@@ -505,7 +505,7 @@
 
 std::string Settings::where(const std::string& section, const std::string& name) const {
     const Node* node = find(section, name);
-    const Place at = node ? node->place : Place{1, 1};
+    const SourceLocation at = node ? node->place : SourceLocation{1, 1};
     return fmt::format("{}:{}:{}: {}", file_, at.line, at.column, full_name(section, name));
 }
 
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -64,9 +64,9 @@
 };
 
 // All that is wrong with a file, a line each; what() is the first of them.
-class Complaints : public ConfigError {
+class ValidationErrors : public ConfigError {
   public:
-    explicit Complaints(std::vector<std::string> lines)
+    explicit ValidationErrors(std::vector<std::string> lines)
         : ConfigError(lines.size() == 1 ? lines.front()
                                         : lines.front() + " (and " + std::to_string(lines.size() - 1) +
                                               " more: see check-config)"),
@@ -75,11 +75,11 @@
 };
 
 // Complaints as they are found, told in the order of the file.
-class Gathered {
+class ValidationErrorCollector {
   public:
-    explicit Gathered(std::string file) : file_(std::move(file)) {}
-    void complain(Place at, const std::string& what);
-    void finish();  // throws Complaints unless there is none
+    explicit ValidationErrorCollector(std::string file) : file_(std::move(file)) {}
+    void add(SourceLocation at, const std::string& what);
+    void throw_if_any();  // throws Complaints unless there is none
 
   private:
     std::string file_;
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -11,13 +11,13 @@
 namespace sumackeel::config {
 
 using Json::Value;
-using nettlethread::Micros;
+using routing::Micros;
 
 namespace {
 
 // A JWK set whose members each carry kid, alg and, as "purpose", what they are for.
 std::vector<KeyFile> read_keys(const std::string& path) {
-    const Value root = parse(file_text(path), path);
+    const Value root = parse(read_file(path), path);
     if (!root.isObject() || !root["keys"].isArray()) bad(path, "keys is missing or not a list");
     std::vector<KeyFile> keys;
     for (const Value& item : root["keys"]) {
@@ -47,9 +47,9 @@
     return static_cast<Micros>(file.number(section, name) * 1e6);
 }
 
-SignedFront read_signed_front(const Settings& file, const std::filesystem::path& folder) {
+SignedUrlServer read_signed_front(const Settings& file, const std::filesystem::path& folder) {
     const char* at = "signed_front";
-    SignedFront front;
+    SignedUrlServer front;
     front.listen = file.text(at, "listen");
     front.host = file.text(at, "host");
     front.audience = file.text(at, "audience");
@@ -87,25 +87,25 @@
     return discovery;
 }
 
-SavedList read_saved_list(const Settings& file, const std::filesystem::path& folder) {
+EndpointSnapshot read_saved_list(const Settings& file, const std::filesystem::path& folder) {
     const char* at = "saved_list";
-    SavedList list;
+    EndpointSnapshot list;
     list.folder = path_of(file, at, "folder", folder);
     list.site = file.text(at, "site");
     list.full_until = seconds(file, at, "full_until_s");
-    list.careful_until = seconds(file, at, "careful_until_s");
+    list.unverified_until = seconds(file, at, "careful_until_s");
     list.answered_within = seconds(file, at, "answered_within_s");
     list.save_every = file.whole(at, "save_every_ms") * 1000;
     list.refresh = seconds(file, at, "refresh_s");
     list.origin_per_s = file.number(at, "origin_per_s");
-    if (list.careful_until < list.full_until)
+    if (list.unverified_until < list.full_until)
         bad(file.where(at, "careful_until_s"), "shorter than full_until_s");
     return list;
 }
 
-Peers read_peers(const Settings& file, const std::filesystem::path& folder) {
+Cluster read_peers(const Settings& file, const std::filesystem::path& folder) {
     const char* at = "peers";
-    Peers peers;
+    Cluster peers;
     peers.group = file.text(at, "group");
     peers.name = file.text(at, "name");
     peers.listen = file.text(at, "listen");
@@ -136,19 +136,19 @@
     return peers;
 }
 
-Agreed read_agreed(const Settings& file, const std::filesystem::path& folder) {
+Consensus read_agreed(const Settings& file, const std::filesystem::path& folder) {
     const char* at = "agreed";
-    Agreed agreed;
+    Consensus agreed;
     agreed.folder = path_of(file, at, "folder", folder);
     agreed.voters = file.named(at, "voters");
     agreed.election_ms = static_cast<unsigned>(file.whole(at, "election_ms"));
-    agreed.gone_counts = seconds(file, at, "gone_counts_s");
+    agreed.removed_counts_for = seconds(file, at, "gone_counts_s");
     const auto rules = [&](const std::string& of) {
-        LeaveRules all;
-        all.school_out = static_cast<int>(file.whole(at, of + "_school_out"));
-        all.fleet_out = static_cast<int>(file.whole(at, of + "_fleet_out"));
-        all.school_share = file.number(at, of + "_school_share");
-        all.between = static_cast<Micros>(file.number(at, of + "_between_s") * 1e6);
+        DisruptionBudget all;
+        all.max_unavailable_in_zone = static_cast<int>(file.whole(at, of + "_school_out"));
+        all.max_unavailable = static_cast<int>(file.whole(at, of + "_fleet_out"));
+        all.max_zone_weight_share = file.number(at, of + "_school_share");
+        all.min_interval_in_zone = static_cast<Micros>(file.number(at, of + "_between_s") * 1e6);
         return all;
     };
     agreed.proxies = rules("proxies");
@@ -192,7 +192,7 @@
 }  // namespace
 
 Operator load_operator(const std::string& path) {
-    const std::string text = file_text(path);
+    const std::string text = read_file(path);
     const std::filesystem::path folder = std::filesystem::path(path).parent_path();
     Operator result;
     result.old_form = is_json(text);
@@ -202,20 +202,21 @@
     result.test_clock_offset_s = file.number("", "test_clock_offset_s");
 #endif
     if (file.has("store")) result.store = read_store(file, folder);
-    if (file.has("peers")) result.peers = read_peers(file, folder);
-    if (file.has("agreed")) result.agreed = read_agreed(file, folder);
-    if (result.agreed && !result.peers) bad(file.where("agreed", "voters"), "given, and [peers] is missing");
-    if (result.store && !result.agreed)
+    if (file.has("peers")) result.cluster = read_peers(file, folder);
+    if (file.has("agreed")) result.consensus = read_agreed(file, folder);
+    if (result.consensus && !result.cluster)
+        bad(file.where("agreed", "voters"), "given, and [peers] is missing");
+    if (result.store && !result.consensus)
         bad(file.where("store", "listen"),
             "given, and [agreed] is missing: the store lies in the agreed log since 0.3");
     if (file.has("recovery")) result.recovery = read_recovery(file, folder);
-    if (result.recovery && !result.peers)
+    if (result.recovery && !result.cluster)
         bad(file.where("recovery", "folder"), "given, and [peers] is missing");
-    if (file.has("signed_front")) result.signed_front = read_signed_front(file, folder);
+    if (file.has("signed_front")) result.signed_url_server = read_signed_front(file, folder);
     if (file.has("discovery")) result.discovery = read_discovery(file);
-    if (file.has("saved_list")) result.saved_list = read_saved_list(file, folder);
+    if (file.has("saved_list")) result.endpoint_snapshot = read_saved_list(file, folder);
     if (file.has("expectations")) result.expectations = read_expectations(file, folder);
-    if (result.signed_front && result.signed_front->one_time == "redis" && result.redis.empty())
+    if (result.signed_url_server && result.signed_url_server->one_time == "redis" && result.redis.empty())
         bad(file.where("signed_front", "one_time"), "is redis, and redis is missing");
     return result;
 }
--- a/src/config/tree.cpp
+++ b/src/config/tree.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-Place place_of(const toml::source_position& at) {
+SourceLocation place_of(const toml::source_position& at) {
     return {static_cast<int>(at.line), static_cast<int>(at.column)};
 }
 
@@ -56,7 +56,7 @@
     return node;
 }
 
-Place place_in(const std::string& text, std::ptrdiff_t offset) {
+SourceLocation place_in(const std::string& text, std::ptrdiff_t offset) {
     const auto end = text.begin() + std::clamp<std::ptrdiff_t>(offset, 0, std::ssize(text));
     const auto last = std::find(std::make_reverse_iterator(end), text.rend(), '\n').base();
     return {1 + static_cast<int>(std::count(text.begin(), end, '\n')), 1 + static_cast<int>(end - last)};
@@ -97,7 +97,7 @@
     try {
         return node_of(toml::parse(text, file), file);
     } catch (const toml::parse_error& wrong) {
-        const Place at = place_of(wrong.source().begin);
+        const SourceLocation at = place_of(wrong.source().begin);
         std::string what(wrong.description());
         std::replace(what.begin(), what.end(), '\n', ' ');
         bad(fmt::format("{}:{}:{}", file, at.line, at.column), what);
--- a/src/config/tree.h
+++ b/src/config/tree.h
@@ -9,7 +9,7 @@
 
 namespace sumackeel::config {
 
-struct Place {
+struct SourceLocation {
     int line = 0, column = 0;  // from 1; 0: not known
 };
 
@@ -17,8 +17,8 @@
     using Table = std::map<std::string, Node>;
     using List = std::vector<Node>;
     std::variant<std::monostate, bool, std::int64_t, double, std::string, List, Table> value;
-    Place place;      // of the value
-    Place key_place;  // of its name, in a table
+    SourceLocation place;      // of the value
+    SourceLocation key_place;  // of its name, in a table
 };
 
 // Throw ConfigError naming `file`, line and column. The top is always a table.
--- a/src/peers/raft_disk.cpp
+++ b/src/consensus/raft_disk.cpp
@@ -1,8 +1,8 @@
-#include "peers/raft_disk.h"
+#include "consensus/raft_disk.h"
 
 #include <utility>
 
-namespace sumackeel::peers {
+namespace sumackeel::consensus {
 
 namespace {
 
@@ -34,7 +34,7 @@
 }
 
 int RaftDisk::open(const std::string& folder, raft_uv_transport* transport,
-                   std::unique_ptr<base::FolderLock> lock) {
+                   std::unique_ptr<base::DirectoryLock> lock) {
     state_->lock = std::move(lock);
     const int made = raft_uv_init(io(), loop_.raw(), folder.c_str(), transport);
     if (made == 0) replace_calls();
@@ -162,9 +162,9 @@
     tell_failed_(status);
 }
 
-bool RaftDisk::hangs() const {
-    const bool appends = appends_ > 0 && loop_.clock().now() - progressed_ > net::OffLoop::kHangs;
-    return appends || writes_.hangs();
+bool RaftDisk::is_stuck() const {
+    const bool appends = appends_ > 0 && loop_.clock().now() - progressed_ > net::BackgroundTask::kStuckAfter;
+    return appends || writes_.is_stuck();
 }
 
 void RaftDisk::close() {
@@ -177,4 +177,4 @@
     state_->owner = this;
 }
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::consensus
--- a/src/peers/raft_disk.h
+++ b/src/consensus/raft_disk.h
@@ -10,11 +10,11 @@
 #include <string>
 
 #include "base/files.h"
+#include "consensus/raft_library.h"
+#include "net/background_task.h"
 #include "net/loop.h"
-#include "net/off_loop.h"
-#include "peers/raft_library.h"
 
-namespace sumackeel::peers {
+namespace sumackeel::consensus {
 
 class RaftDisk {
   public:
@@ -26,10 +26,11 @@
 
     // Of the folder that `lock` holds, which it does until nothing is written there any more. 0, or the
     // library's status.
-    int open(const std::string& folder, raft_uv_transport* transport, std::unique_ptr<base::FolderLock> lock);
+    int open(const std::string& folder, raft_uv_transport* transport,
+             std::unique_ptr<base::DirectoryLock> lock);
     raft_io* io() { return &state_->io; }
     // Something has been under way for longer than a disk that works takes.
-    bool hangs() const;
+    bool is_stuck() const;
     // After raft_close(): what is held is called off.
     void close();
     // The library has closed it, or never took it into use: the folder is given back, behind a write that is
@@ -42,7 +43,7 @@
     struct State {
         raft_io io{};  // the first member, by which the library's calls find the rest
         RaftDisk* owner = nullptr;
-        std::unique_ptr<base::FolderLock> lock;
+        std::unique_ptr<base::DirectoryLock> lock;
         ~State();
     };
     // What the library has told of itself and is in no write yet: a vote counts in its term alone.
@@ -77,7 +78,7 @@
     std::function<void(int status)> tell_failed_;
     std::shared_ptr<State> state_;
     raft_io real_{};  // the library's own calls
-    net::OffLoop writes_;
+    net::BackgroundTask writes_;
     Ballot unwritten_;
     std::deque<Held> held_;
     int appends_ = 0;             // under way
@@ -85,4 +86,4 @@
     bool failed_ = false, closed_ = false;
 };
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::consensus
--- a/src/peers/voter.cpp
+++ b/src/consensus/raft_node.cpp
@@ -1,4 +1,4 @@
-#include "peers/voter.h"
+#include "consensus/raft_node.h"
 
 #include <algorithm>
 #include <charconv>
@@ -8,14 +8,14 @@
 
 #include "base/files.h"
 #include "base/log.h"
-#include "base/packed.h"
-#include "peers/raft_disk.h"
-#include "peers/raft_transport.h"
+#include "base/msgpack.h"
+#include "consensus/raft_disk.h"
+#include "consensus/raft_transport.h"
 
-namespace sumackeel::peers {
+namespace sumackeel::consensus {
 
 using base::Micros;
-using rollout::Answer;
+using rollout::CommandResult;
 
 namespace {
 
@@ -36,23 +36,23 @@
 // A snapshot: both states behind a mark. Without the mark: of the version before the registry, one state
 // alone.
 constexpr const char* kSnapshotMark = "sumackeel-agreed";
-std::string pack_states(const rollout::State& state, const registry::State& registry) {
-    base::Packed out;
+std::string pack_states(const rollout::State& state, const kv_store::State& registry) {
+    base::MsgpackWriter out;
     return out.array(3).add(std::string(kSnapshotMark), state.encode(), registry.encode()).bytes();
 }
-void unpack_states(std::string_view bytes, rollout::State& state, registry::State& registry) {
+void unpack_states(std::string_view bytes, rollout::State& state, kv_store::State& registry) {
     constexpr std::size_t kMostBytes = 256 << 20;
-    const base::Unpacked whole = base::unpacked(bytes, kMostBytes, kMostBytes);
-    base::Fields at = whole.fields(3);
+    const base::MsgpackDocument whole = base::parse_msgpack(bytes, kMostBytes, kMostBytes);
+    base::MsgpackReader at = whole.reader(3);
     try {
-        if (at.text(64) != kSnapshotMark) base::Fields::broken();
+        if (at.text(64) != kSnapshotMark) base::MsgpackReader::fail();
     } catch (const std::runtime_error&) {
         state = rollout::State::decode(bytes), registry = {};
         return;
     }
     const auto first = at.next<std::string>(), second = at.next<std::string>();
     rollout::State one = rollout::State::decode(first);
-    registry = registry::State::decode(second);
+    registry = kv_store::State::decode(second);
     state = std::move(one);
 }
 
@@ -68,22 +68,22 @@
 
 }  // namespace
 
-struct Voter::Log {
+struct RaftNode::Log {
     net::Loop& loop;
     const Hooks hooks;
     const std::string self, address;
     RaftTransport transport;
     RaftDisk disk;
     // What the library says of its own steps, at the debug level.
-    raft_tracer tracer{nullptr, log::wanted(log::Level::debug),
+    raft_tracer tracer{nullptr, log::is_enabled(log::Level::debug),
                        [](raft_tracer*, const char* file, int line, const char* message) {
                            log::debug("raft: {}:{} {}", file, line, message);
                        }};
     raft_fsm fsm{};
     raft raft_{};
     rollout::State state;
-    registry::State registry;
-    Answer last;  // of the command applied just now, for who proposed it
+    kv_store::State registry;
+    CommandResult last;  // of the command applied just now, for who proposed it
     bool started = false, failed = false, closed = false, up = false;
     bool changing = false;  // who votes, under way
     raft_change change{};
@@ -99,7 +99,7 @@
             "or its files are read anew",
             hooks.setup.folder, raft_strerror(status));
         const std::weak_ptr<bool> alive = this->alive;
-        loop.deadlines().set(loop.clock().now(), [this, alive] {
+        loop.timers().schedule(loop.clock().now(), [this, alive] {
             if (alive.expired()) return;
             close();
             hooks.failed();
@@ -108,10 +108,10 @@
 
     struct Applying {
         struct raft_apply request {};
-        Told done;
+        ResultCallback done;
     };
 
-    Log(net::Loop& l, const Codec& codec, std::string name, Hooks h)
+    Log(net::Loop& l, const MessageCodec& codec, std::string name, Hooks h)
         : loop(l),
           hooks(std::move(h)),
           self(std::move(name)),
@@ -122,19 +122,19 @@
     // Of the log in the folder; throws std::runtime_error where the file can't be read.
     static std::uint64_t history_in(const std::string& folder) {
         std::string text, fault;
-        const auto how = base::read_plain(folder + '/' + kHistory, 64, text, fault);
-        if (how == base::Reading::missing) return 0;
+        const auto how = base::read_regular_file(folder + '/' + kHistory, 64, text, fault);
+        if (how == base::ReadStatus::missing) return 0;
         const std::string_view form(kHistoryForm);
         std::uint64_t history = 0;
         const char *begin = text.data() + form.size(), *end = text.data() + text.size() - 1;
-        if (how != base::Reading::done || !text.starts_with(form) || !text.ends_with('\n') ||
+        if (how != base::ReadStatus::ok || !text.starts_with(form) || !text.ends_with('\n') ||
             std::from_chars(begin, end, history).ptr != end)
             throw std::runtime_error(fmt::format("agreed: {}/{} can't be read: {}", folder, kHistory,
                                                  fault.empty() ? text : fault));
         return history;
     }
     static std::string put_history(const std::string& folder, std::uint64_t history) {
-        return base::put_in_place(folder, std::string(kHistory) + ".new", kHistory,
+        return base::replace_file(folder, std::string(kHistory) + ".new", kHistory,
                                   fmt::format("{}{}\n", kHistoryForm, history));
     }
 
@@ -153,8 +153,8 @@
     std::string open(bool joins) {
         const std::string& folder = hooks.setup.folder;
         const bool lost = lost_log();
-        auto lock = std::make_unique<base::FolderLock>(folder);
-        if (!lock->fault().empty()) return lock->fault();
+        auto lock = std::make_unique<base::DirectoryLock>(folder);
+        if (!lock->error().empty()) return lock->error();
         if (const int made = disk.open(folder, transport.raw(), std::move(lock)); made != 0)
             return fault_of(made, "the folder");
         raft_uv_set_tracer(disk.io(), &tracer);
@@ -205,7 +205,7 @@
         }
         if (const int ran = raft_start(&raft_); ran != 0) return fault_of(ran, "the start");
         started = true;
-        return base::put_in_place(hooks.marks, std::string(kVoted) + ".new", kVoted, "sumackeel-voted 1\n");
+        return base::replace_file(hooks.marks, std::string(kVoted) + ".new", kVoted, "sumackeel-voted 1\n");
     }
 
     // Who votes, as the first entry of a new log; or where an operator forced it, this one alone. Danger: one
@@ -271,7 +271,8 @@
         if (!leads() || changing) return;
         const auto* servers = raft_.configuration.servers;
         const unsigned count = raft_.configuration.n;
-        for (const auto& [name, address_of_it] : hooks.setup.voters) {
+        for (const auto& voter : hooks.setup.voters) {
+            const std::string &name = voter.first, &address_of_it = voter.second;
             const auto* found = std::find_if(servers, servers + count,
                                              [&](const raft_server& one) { return one.id == id_of(name); });
             if (found != servers + count && found->role == RAFT_VOTER) continue;
@@ -338,12 +339,12 @@
         const std::uint64_t before = state.revision(), registered = registry.revision();
         *result = nullptr;
         try {
-            if (registry::is_command(command)) {
-                registry::Answer answer = registry::apply(registry, command);
-                last = Answer{answer.done ? rollout::How::granted : rollout::How::refused,
-                              answer.revision,
-                              std::move(answer.reason),
-                              {}};
+            if (kv_store::is_command(command)) {
+                kv_store::ApplyResult answer = kv_store::apply(registry, command);
+                last = CommandResult{answer.applied ? rollout::Outcome::granted : rollout::Outcome::rejected,
+                                     answer.revision,
+                                     std::move(answer.reason),
+                                     {}};
                 *result = &last;
                 if (registry.revision() != registered) hooks.registered();
                 return 0;
@@ -392,46 +393,48 @@
         struct raft_barrier request {};
         Log& voter;
         std::string key;
-        Told done;
+        ResultCallback done;
     };
     // Behind all that was agreed on before it was asked for.
-    void read(const std::string& key, Told done) {
+    void read(const std::string& key, ResultCallback done) {
         auto* reading = new Reading{{}, *this, key, std::move(done)};
         reading->request.data = reading;
         const int failed =
             raft_barrier(&raft_, &reading->request, [](struct raft_barrier* request, int status) {
                 const std::unique_ptr<Reading> whole(static_cast<Reading*>(request->data));
                 if (status != 0) return whole->done(std::nullopt);
-                const registry::Entry* found = whole->voter.registry.find(whole->key);
-                whole->done(found ? Answer{rollout::How::granted, found->version, found->value, {}}
-                                  : Answer{rollout::How::nothing, 0, {}, {}});
+                const kv_store::Entry* found = whole->voter.registry.find(whole->key);
+                whole->done(found ? CommandResult{rollout::Outcome::granted, found->version, found->value, {}}
+                                  : CommandResult{rollout::Outcome::none, 0, {}, {}});
             });
         if (failed == 0) return;
         const std::unique_ptr<Reading> whole(reading);
         whole->done(std::nullopt);
     }
 
-    void give_lead(const std::string& to, Told done) {
-        if (to == self) return done(Answer{rollout::How::granted, raft_.current_term, "leads already", {}});
+    void give_lead(const std::string& to, ResultCallback done) {
+        if (to == self)
+            return done(CommandResult{rollout::Outcome::granted, raft_.current_term, "leads already", {}});
         const auto all = voters();
         if (std::find(all.begin(), all.end(), to) == all.end())
-            return done(Answer{rollout::How::refused, 0, to + " does not vote", {}});
+            return done(CommandResult{rollout::Outcome::rejected, 0, to + " does not vote", {}});
         if (changing) return done(std::nullopt);
         hand_over(id_of(to), [this, to, done = std::move(done)] {
             // Known once the other has won: until then it is asked again.
-            done(leader() == to ? std::optional(Answer{rollout::How::granted, raft_.current_term, {}, {}})
-                                : std::nullopt);
+            done(leader() == to
+                     ? std::optional(CommandResult{rollout::Outcome::granted, raft_.current_term, {}, {}})
+                     : std::nullopt);
         });
     }
 
-    void propose(const std::string& command, Told done) {
+    void propose(const std::string& command, ResultCallback done) {
         auto* applying = new Applying{{}, std::move(done)};
         applying->request.data = applying;
         const raft_buffer buffer = buffer_of(command);
         const int failed = raft_apply(
             &raft_, &applying->request, &buffer, 1, [](struct raft_apply* request, int status, void* result) {
                 const std::unique_ptr<Applying> whole(static_cast<Applying*>(request->data));
-                const auto* answer = static_cast<const Answer*>(result);
+                const auto* answer = static_cast<const CommandResult*>(result);
                 whole->done(status == 0 && answer ? std::optional(*answer) : std::nullopt);
             });
         if (failed == 0) return;
@@ -441,84 +444,84 @@
     }
 };
 
-Voter::Voter(net::Loop& loop, const Codec& codec, const std::string& name, Hooks hooks)
+RaftNode::RaftNode(net::Loop& loop, const MessageCodec& codec, const std::string& name, Hooks hooks)
     : log_(std::make_unique<Log>(loop, codec, name, std::move(hooks))) {}
-Voter::~Voter() = default;
+RaftNode::~RaftNode() = default;
 
-std::string Voter::open(bool joins) {
+std::string RaftNode::open(bool joins) {
     return log_->open(joins);
 }
-std::string Voter::try_folder(const std::string& folder) {
-    const base::FolderLock lock(folder);
-    if (!lock.fault().empty()) return lock.fault();
+std::string RaftNode::check_directory(const std::string& folder) {
+    const base::DirectoryLock lock(folder);
+    if (!lock.error().empty()) return lock.error();
     std::error_code fault;
     for (std::filesystem::directory_iterator it(folder, fault), end; !fault && it != end;
          it.increment(fault)) {
         std::string bytes;
-        if (it->is_regular_file(fault)) base::read_all(it->path().string(), kLongestFile, bytes);
+        if (it->is_regular_file(fault)) base::read_entire_file(it->path().string(), kLongestFile, bytes);
     }
     return fault ? fault.message() : std::string{};
 }
-bool Voter::lost_log() const {
+bool RaftNode::has_lost_log() const {
     return log_->lost_log();
 }
-void Voter::stop() {
+void RaftNode::stop() {
     log_->failed = true;
     log_->close();
 }
-bool Voter::stopped() const {
+bool RaftNode::stopped() const {
     return log_->failed;
 }
-void Voter::close() {
+void RaftNode::close() {
     log_->close();
 }
-bool Voter::closing() const {
+bool RaftNode::closing() const {
     return log_->up;
 }
-void Voter::shut() {
+void RaftNode::close_now() {
     log_->shut();
 }
-bool Voter::disk_hangs() const {
-    return log_->disk.hangs();
+bool RaftNode::is_disk_stuck() const {
+    return log_->disk.is_stuck();
 }
-bool Voter::votes() const {
+bool RaftNode::is_voter() const {
     return log_->votes();
 }
-bool Voter::leads() const {
+bool RaftNode::is_leader() const {
     return log_->leads();
 }
-std::string Voter::leader() const {
+std::string RaftNode::leader() const {
     return log_->leader();
 }
-bool Voter::caught_up() const {
+bool RaftNode::caught_up() const {
     return log_->caught_up();
 }
-std::vector<std::string> Voter::voters() const {
+std::vector<std::string> RaftNode::voters() const {
     return log_->voters();
 }
-std::uint64_t Voter::history() const {
+std::uint64_t RaftNode::history() const {
     return log_->transport.history();
 }
-std::string Voter::put_history(const std::string& folder, std::uint64_t history) {
+std::string RaftNode::write_history(const std::string& folder, std::uint64_t history) {
     return Log::put_history(folder, history);
 }
-const rollout::State& Voter::state() const {
+const rollout::State& RaftNode::state() const {
     return log_->state;
 }
-const registry::State& Voter::registry() const {
+const kv_store::State& RaftNode::kv_store() const {
     return log_->registry;
 }
-void Voter::tend() {
+void RaftNode::reconcile_voters() {
     log_->tend();
 }
-void Voter::propose(const std::string& command, Told told) {
+void RaftNode::propose(const std::string& command, ResultCallback told) {
     log_->propose(command, std::move(told));
 }
-void Voter::read(const std::string& key, Told told) {
+void RaftNode::read(const std::string& key, ResultCallback told) {
     log_->read(key, std::move(told));
 }
-void Voter::give_lead(const std::string& to, Told told) {
+void RaftNode::transfer_leadership(const std::string& to, ResultCallback told) {
     log_->give_lead(to, std::move(told));
 }
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::consensus
