--- a/src/peers/raft_transport.cpp
+++ b/src/consensus/raft_transport.cpp
@@ -1,4 +1,4 @@
-#include "peers/raft_transport.h"
+#include "consensus/raft_transport.h"
 
 #include <openssl/rand.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 
 #include "base/log.h"
 
-namespace sumackeel::peers {
+namespace sumackeel::consensus {
 
 namespace {
 
@@ -46,14 +46,14 @@
     std::array<char, kFirst> first{};
     std::array<char, kHello> hello{};
     std::size_t have = 0;
-    base::Deadlines::Key by;
+    base::TimerQueue::Key by;
 
     explicit Hand(RaftTransport& o) : owner(o) {
         uv_tcp_init(owner.loop_.raw(), tcp);
         tcp->data = this;
         connecting.data = writing.data = this;
-        by = owner.loop_.deadlines().set(owner.loop_.clock().now() + kHandPatience,
-                                         [this] { drop(RAFT_NOCONNECTION); });
+        by = owner.loop_.timers().schedule(owner.loop_.clock().now() + kHandPatience,
+                                           [this] { drop(RAFT_NOCONNECTION); });
         owner.hands_.push_back(this);
     }
 
@@ -100,7 +100,7 @@
             return drop(RAFT_NOCONNECTION);
         const std::string bytes = std::string(nonce()) + number(owner.history_);
         std::memcpy(first.data(), bytes.data(), bytes.size());
-        std::memcpy(first.data() + bytes.size(), owner.codec_.code(bytes).data(), kCode);
+        std::memcpy(first.data() + bytes.size(), owner.codec_.mac_of(bytes).data(), kCode);
         write(first.data(), kFirst, [](uv_write_t* request, int written) {
             auto* self = static_cast<Hand*>(request->data);
             if (self->dropped) return;
@@ -110,7 +110,7 @@
 
     void answer() {  // ours: the nonce has come
         const std::string_view bytes(first.data(), kFirst - kCode);
-        if (!owner.codec_.holds(bytes, {first.data() + bytes.size(), kCode})) {
+        if (!owner.codec_.verify_mac(bytes, {first.data() + bytes.size(), kCode})) {
             ++owner.refused_;
             return drop(RAFT_NOCONNECTION);
         }
@@ -120,7 +120,7 @@
         address.resize(kAddress, 0);
         const std::string told = number(owner.id_) + address + number(owner.history_);
         std::memcpy(hello.data(), told.data(), told.size());
-        std::memcpy(hello.data() + told.size(), owner.codec_.code(said()).data(), kCode);
+        std::memcpy(hello.data() + told.size(), owner.codec_.mac_of(said()).data(), kCode);
         if (ours)
             return write(hello.data(), hello.size(), [](uv_write_t* request, int status) {
                 auto* self = static_cast<Hand*>(request->data);
@@ -133,7 +133,7 @@
 
     void judge() {  // it came in: the hello is there
         const raft_id id = number_in(part(0, kNumber));
-        if (id == 0 || !owner.codec_.holds(said(), part(kHello - kCode, kCode))) {
+        if (id == 0 || !owner.codec_.verify_mac(said(), part(kHello - kCode, kCode))) {
             ++owner.refused_;
             return drop(RAFT_NOCONNECTION);
         }
@@ -146,7 +146,7 @@
     }
 
     uv_tcp_t* release() {
-        owner.loop_.deadlines().drop(by);
+        owner.loop_.timers().cancel(by);
         return std::exchange(tcp, nullptr);
     }
 
@@ -160,7 +160,7 @@
 
     void drop(int status) {
         if (std::exchange(dropped, true)) return;
-        owner.loop_.deadlines().drop(by);
+        owner.loop_.timers().cancel(by);
         result = status;
         uv_close(reinterpret_cast<uv_handle_t*>(tcp), [](uv_handle_t* handle) {
             auto* self = static_cast<Hand*>(handle->data);
@@ -180,7 +180,7 @@
     int result = 0;
 };
 
-RaftTransport::RaftTransport(net::Loop& loop, const Codec& codec, std::string listen,
+RaftTransport::RaftTransport(net::Loop& loop, const MessageCodec& codec, std::string listen,
                              std::function<std::string(const std::string&)> reach,
                              std::function<void(std::uint64_t)> newer)
     : loop_(loop),
@@ -198,7 +198,7 @@
         auto* self = static_cast<RaftTransport*>(t->impl);
         self->accepted_ = cb;
         sockaddr_in at{};
-        if (!net::read_address(self->listen_, at)) return RAFT_INVALID;
+        if (!net::parse_address(self->listen_, at)) return RAFT_INVALID;
         try {
             self->listener_ =
                 std::make_unique<net::Listener>(self->loop_, self->listen_, [self] { self->take_next(); });
@@ -212,7 +212,7 @@
                             raft_uv_connect_cb cb) {
         auto* self = static_cast<RaftTransport*>(t->impl);
         sockaddr_in to{};
-        if (self->closing_ || !net::read_address(self->reach_(address), to)) return RAFT_NOCONNECTION;
+        if (self->closing_ || !net::parse_address(self->reach_(address), to)) return RAFT_NOCONNECTION;
         auto* hand = new Hand(*self);
         hand->request = request, hand->cb = cb;
         if (uv_tcp_connect(&hand->connecting, hand->tcp, reinterpret_cast<const sockaddr*>(&to),
@@ -271,4 +271,4 @@
     std::exchange(close_cb_, nullptr)(&transport_);
 }
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::consensus
--- a/src/peers/raft_transport.h
+++ b/src/consensus/raft_transport.h
@@ -6,17 +6,19 @@
 #include <memory>
 #include <string>
 
+#include "cluster_transport/message_codec.h"
+#include "consensus/raft_library.h"
 #include "net/listener.h"
-#include "peers/raft_library.h"
-#include "peers/wire.h"
 
-namespace sumackeel::peers {
+namespace sumackeel::consensus {
+
+using cluster_transport::MessageCodec;
 
 class RaftTransport {
   public:
     // `reach` tells where this member reaches an address that another one has. `newer`: another voter has a
     // log of a later history; told from the loop, as often as it is met.
-    RaftTransport(net::Loop& loop, const Codec& codec, std::string listen,
+    RaftTransport(net::Loop& loop, const MessageCodec& codec, std::string listen,
                   std::function<std::string(const std::string&)> reach,
                   std::function<void(std::uint64_t)> newer);
     ~RaftTransport();
@@ -37,7 +39,7 @@
     void finish_close();
 
     net::Loop& loop_;
-    const Codec& codec_;
+    const MessageCodec& codec_;
     std::string listen_;
     std::function<std::string(const std::string&)> reach_;
     std::function<void(std::uint64_t)> newer_;
@@ -53,4 +55,4 @@
     bool closing_ = false, closed_listener_ = false;
 };
 
-}  // namespace sumackeel::peers
+}  // namespace sumackeel::consensus
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -11,9 +11,9 @@
 
 namespace sumackeel::core {
 
-using nettlethread::Outcome;
-using nettlethread::Semantics;
-using nettlethread::Verdict;
+using routing::AttemptFinished;
+using routing::AttemptStatus;
+using routing::RetrySafety;
 
 namespace {
 
@@ -24,22 +24,22 @@
     return std::to_string(handle.slot) + '.' + std::to_string(handle.generation);
 }
 
-bool proves_not_run(Verdict verdict) {
-    return verdict == Verdict::full || verdict == Verdict::not_connected || verdict == Verdict::never_sent ||
-           verdict == Verdict::missing;
+bool proves_not_run(AttemptStatus verdict) {
+    return verdict == AttemptStatus::overloaded || verdict == AttemptStatus::connect_failed ||
+           verdict == AttemptStatus::not_sent || verdict == AttemptStatus::not_found;
 }
 
 }  // namespace
 
-Core::Core(const nettlethread::Settings& settings, std::uint64_t seed, Clock& clock, Deadlines& deadlines)
+Core::Core(const routing::Settings& settings, std::uint64_t seed, Clock& clock, TimerQueue& deadlines)
     : settings_(settings), router_(settings, seed), clock_(clock), deadlines_(deadlines) {
-    log::debug("settings zone={} hubs={} proxies={} pace={:.0f} parents={} origin={}", settings_.my_zone,
-               fmt::join(settings_.zone_hub, ","), fmt::join(settings_.zone_instances, ","),
-               settings_.pace_kb_per_s, settings_.parent_kind, settings_.origin_kind);
+    log::debug("settings zone={} hubs={} proxies={} pace={:.0f} parents={} origin={}", settings_.own_zone,
+               fmt::join(settings_.region_by_zone, ","), fmt::join(settings_.instances_by_zone, ","),
+               settings_.transfer_rate_kb_per_s, settings_.parent_kind, settings_.origin_kind);
     for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-        const nettlethread::ClassSettings& c = settings_.classes[i];
-        log::debug("class place={} aim_us={} stretch={:.2f} give_up_us={}", i, c.aim, c.aim_stretch,
-                   c.give_up);
+        const routing::ClassSettings& c = settings_.classes[i];
+        log::debug("class place={} aim_us={} stretch={:.2f} give_up_us={}", i, c.latency_objective,
+                   c.latency_objective_stretch, c.deadline);
     }
 }
 
@@ -52,31 +52,31 @@
     return generation.ec == std::errc{} && generation.ptr == end ? handle : Handle{};
 }
 
-Handle Core::take(Ask ask, Asker& asker, std::uint64_t cookie) {
+Handle Core::submit(Request ask, ResponseSink& asker, std::uint64_t cookie) {
     // Danger: counted from now, the time would grow by as much as the process stood still since it was read.
-    const Micros now = clock_.now(), deadline = (ask.came > 0 ? ask.came : now) + ask.left;
-    nettlethread::Arrival arrival;
-    arrival.service = ask.service;
+    const Micros now = clock_.now(), deadline = (ask.received_at > 0 ? ask.received_at : now) + ask.time_left;
+    routing::RequestReceived arrival;
+    arrival.class_index = ask.class_index;
     arrival.object = ask.object;
-    arrival.grace = deadline - now;
+    arrival.time_left = deadline - now;
     // The module is to give up at once what can't end before the process does, while another proxy can still
     // answer it.
-    if (last_word_ > 0) arrival.ends_in = last_word_ - now;
+    if (shutdown_deadline_ > 0) arrival.shutdown_in = shutdown_deadline_ - now;
     arrival.size_kb = ask.size_kb;
-    arrival.group = ask.group;
+    arrival.purge_group = ask.purge_group;
     arrival.part = ask.part;
-    arrival.write = settings_.classes[ask.service].uncached;
-    Request request;
+    arrival.write = settings_.classes[ask.class_index].uncacheable;
+    OpenRequest request;
     request.deadline = deadline;
-    request.ask = std::move(ask);
-    request.asker = &asker;
+    request.request = std::move(ask);
+    request.sink = &asker;
     request.cookie = cookie;
-    ids_.insert(request.ask.id);
+    ids_.insert(request.request.id);
     const Handle handle = requests_.add(std::move(request));
-    Request& taken = *requests_.find(handle);
+    OpenRequest& taken = *requests_.find(handle);
     taken.name = arrival.id = name_of(handle);
     taken.guard = guard(handle, taken);
-    if (const auto come_back = gate_ ? gate_(taken.ask) : std::nullopt) {
+    if (const auto come_back = gate_ ? gate_(taken.request) : std::nullopt) {
         turned_away_.emplace_back(handle, *come_back);
         return handle;
     }
@@ -85,207 +85,212 @@
 }
 
 // The core's own answer comes just before the client gives up, or at the last word where that is sooner.
-base::Deadlines::Key Core::guard(Handle handle, const Request& request) {
+base::TimerQueue::Key Core::guard(Handle handle, const OpenRequest& request) {
     Micros at = request.deadline - kGuard;
-    if (last_word_ > 0) at = std::min(at, last_word_);
-    if (request.answer_by) at = std::min(at, *request.answer_by);
-    return deadlines_.set(at, [this, handle] { time_up(handle); });
+    if (shutdown_deadline_ > 0) at = std::min(at, shutdown_deadline_);
+    if (request.response_deadline) at = std::min(at, *request.response_deadline);
+    return deadlines_.schedule(at, [this, handle] { time_up(handle); });
 }
 
-void Core::renew_guard(Handle handle, Request& request) {
-    deadlines_.drop(request.guard);
+void Core::renew_guard(Handle handle, OpenRequest& request) {
+    deadlines_.cancel(request.guard);
     request.guard = guard(handle, request);
 }
 
-void Core::answer_by(Handle handle, std::optional<Micros> at) {
-    Request* request = requests_.find(handle);
+void Core::set_response_deadline(Handle handle, std::optional<Micros> at) {
+    OpenRequest* request = requests_.find(handle);
     if (!request) return;
-    request->answer_by = at;
+    request->response_deadline = at;
     renew_guard(handle, *request);
 }
 
-void Core::last_word_by(Micros at) {
-    last_word_ = at;
+void Core::set_shutdown_deadline(Micros at) {
+    shutdown_deadline_ = at;
     std::vector<Handle> later;
-    requests_.each([&](Handle handle, const Request& request) {
+    requests_.for_each([&](Handle handle, const OpenRequest& request) {
         if (request.deadline - kGuard > at) later.push_back(handle);
     });
     for (const Handle handle : later) renew_guard(handle, *requests_.find(handle));
 }
 
-void Core::leave(Handle handle) {
-    const Request* request = requests_.find(handle);
+void Core::cancel(Handle handle) {
+    const OpenRequest* request = requests_.find(handle);
     if (!request) return;
-    events_.push_back(nettlethread::ClientLeft{request->name});
+    events_.push_back(routing::ClientCancelled{request->name});
     forget(handle);
 }
 
 // Danger: what waits for a connection to come up would be written long after its request is over, for a
 // client that has gone. The module lets an attempt go on where others share its fill; one that has not begun
 // has no fill to share.
-std::optional<Core::Request> Core::forget(Handle handle) {
-    Request* found = requests_.find(handle);
+std::optional<Core::OpenRequest> Core::forget(Handle handle) {
+    OpenRequest* found = requests_.find(handle);
     if (!found) return std::nullopt;
-    Request request = std::move(*found);
-    deadlines_.drop(request.guard);
-    ids_.erase(request.ask.id);
+    OpenRequest request = std::move(*found);
+    deadlines_.cancel(request.guard);
+    ids_.erase(request.request.id);
     requests_.remove(handle);
     for (const Handle attempt : request.out) {
-        if (!upstream_->unbegun(attempt)) continue;
-        upstream_->stop(attempt);
-        ended(attempt, Ending{.verdict = Verdict::never_sent});
+        if (!upstream_->not_started(attempt)) continue;
+        upstream_->cancel(attempt);
+        on_attempt_finished(attempt, AttemptResult{.status = AttemptStatus::not_sent});
     }
     return request;
 }
 
 // The module answers before this falls due; this is for the case that it does not.
 void Core::time_up(Handle handle) {
-    Request* request = requests_.find(handle);
+    OpenRequest* request = requests_.find(handle);
     if (!request) return;
-    if (!request->answer_by) {
-        thread_local log::Sparing line;
-        line.warn("request {} had no answer from the module at its deadline", request->ask.id);
+    if (!request->response_deadline) {
+        thread_local log::RateLimitedLogger line;
+        line.warn("request {} had no answer from the module at its deadline", request->request.id);
     }
-    events_.push_back(nettlethread::ClientLeft{request->name});
-    finish(handle, Reply{.how = Answered::out_of_time});
-    run();
+    events_.push_back(routing::ClientCancelled{request->name});
+    finish(handle, Response{.status = ResponseStatus::deadline_exceeded});
+    process_events();
 }
 
-void Core::finish(Handle handle, Reply reply) {
-    const std::optional<Request> request = forget(handle);
+void Core::finish(Handle handle, Response reply) {
+    const std::optional<OpenRequest> request = forget(handle);
     if (!request) return;
-    log::debug("answered req={} id={} how={} attempts={} left_us={}", request->name, request->ask.id,
-               static_cast<int>(reply.how), request->attempts, request->deadline - clock_.now());
-    ++figures_.answered[static_cast<std::size_t>(reply.how)];
-    if (reply.how == Answered::served || reply.how == Answered::same) {
-        const Micros took = clock_.now() - (request->deadline - request->ask.left);
+    log::debug("answered req={} id={} how={} attempts={} left_us={}", request->name, request->request.id,
+               static_cast<int>(reply.status), request->attempts, request->deadline - clock_.now());
+    ++metrics_.responses[static_cast<std::size_t>(reply.status)];
+    if (reply.status == ResponseStatus::served || reply.status == ResponseStatus::not_modified) {
+        const Micros took = clock_.now() - (request->deadline - request->request.time_left);
         const auto place = std::bit_width(static_cast<std::uint64_t>(std::max<Micros>(0, took - 1)) / 1'000);
-        ++figures_.took[std::min<std::size_t>(figures_.took.size() - 1, static_cast<std::size_t>(place))];
+        ++metrics_.latency_histogram[std::min<std::size_t>(metrics_.latency_histogram.size() - 1,
+                                                           static_cast<std::size_t>(place))];
     }
-    request->asker->answer(request->cookie, std::move(reply));
+    request->sink->on_response(request->cookie, std::move(reply));
 }
 
-void Core::ended(Handle handle, Ending ending) {
-    Attempt* attempt = attempts_.find(handle);
+void Core::on_attempt_finished(Handle handle, AttemptResult ending) {
+    OpenAttempt* attempt = attempts_.find(handle);
     if (!attempt) return;
     const Handle owner = attempt->request;
     const Micros sent = attempt->sent;
-    Request* request = requests_.find(owner);
+    OpenRequest* request = requests_.find(owner);
     // Danger: one that joined a fill begun before a purge could be handed the purged copy. A box is bound by
     // the age asked for; should one not be, what it sends is no answer and the request goes on.
-    const bool too_old = ending.verdict == Verdict::served && ending.note == nettlethread::Note::joined &&
-                         ending.dated_ms > 0 && ending.dated_ms * 1000 + kDatedWithin < attempt->oldest;
+    const bool too_old =
+        ending.status == AttemptStatus::served && ending.cache_status == routing::CacheStatus::coalesced &&
+        ending.origin_date_ms > 0 && ending.origin_date_ms * 1000 + kDatedWithin < attempt->oldest;
     if (too_old) {
-        thread_local log::Sparing line;
+        thread_local log::RateLimitedLogger line;
         line.warn("{} let a request join a fill of too old a copy", attempt->target);
-        ending = Ending{.verdict = Verdict::missing, .load = ending.load};
+        ending = AttemptResult{.status = AttemptStatus::not_found, .load = ending.load};
     }
-    const bool served = ending.verdict == Verdict::served;
-    Outcome outcome;
+    const bool served = ending.status == AttemptStatus::served;
+    AttemptFinished outcome;
     outcome.id = attempt->name;
     outcome.attempt = attempt->number;
-    outcome.cache = attempt->target;
-    outcome.verdict = ending.verdict;
-    outcome.took = clock_.now() - attempt->sent;
-    outcome.took -= clock_.stalled() - attempt->stalled_before;  // the server's time, not ours
-    outcome.ended = served || !request;
-    outcome.note = ending.note;
-    outcome.first_byte = ending.first_byte;
+    outcome.endpoint = attempt->target;
+    outcome.status = ending.status;
+    outcome.elapsed = clock_.now() - attempt->sent;
+    outcome.elapsed -= clock_.total_stall_time() - attempt->stalled_before;  // the server's time, not ours
+    outcome.request_finished = served || !request;
+    outcome.cache_status = ending.cache_status;
+    outcome.time_to_first_byte = ending.time_to_first_byte;
     outcome.load = ending.load;
-    deadlines_.drop(attempt->limit);
-    if (served && request && served_) served_(request->ask, attempt->source, ending.note);
-    const bool spoke = served || ending.verdict == Verdict::full || ending.verdict == Verdict::missing ||
-                       ending.verdict == Verdict::error;
+    deadlines_.cancel(attempt->limit);
+    if (served && request && served_) served_(request->request, attempt->source, ending.cache_status);
+    const bool spoke = served || ending.status == AttemptStatus::overloaded ||
+                       ending.status == AttemptStatus::not_found || ending.status == AttemptStatus::error;
     if (spoke && answered_) answered_(attempt->target);
     attempts_.remove(handle);
     log::debug(
         "ended req={} n={} at={} verdict={} note={} took_us={} first_us={} dated_ms={} held={:.0f} "
         "link={:.2f}",
-        outcome.id, outcome.attempt, outcome.cache, static_cast<int>(outcome.verdict),
-        static_cast<int>(outcome.note), outcome.took, outcome.first_byte, ending.dated_ms, outcome.load.held,
-        outcome.load.link);
+        outcome.id, outcome.attempt, outcome.endpoint, static_cast<int>(outcome.status),
+        static_cast<int>(outcome.cache_status), outcome.elapsed, outcome.time_to_first_byte,
+        ending.origin_date_ms, outcome.load.in_flight, outcome.load.ingress_utilization);
     events_.push_back(std::move(outcome));
     if (!request) return;
     std::erase(request->out, handle);
-    if (!proves_not_run(ending.verdict)) {
+    if (!proves_not_run(ending.status)) {
         request->may_have_run = true;
         request->ran_since = request->ran_since > 0 ? std::min(request->ran_since, sent) : sent;
     }
     if (served) {
-        finish(owner, Reply{.how = ending.same ? Answered::same : Answered::served,
-                            .body = std::move(ending.body),
-                            .tag = std::move(ending.tag)});
+        finish(owner,
+               Response{.status = ending.not_modified ? ResponseStatus::not_modified : ResponseStatus::served,
+                        .body = std::move(ending.body),
+                        .etag = std::move(ending.etag)});
     }
 }
 
-void Core::tell(nettlethread::Event event) {
+void Core::notify(routing::Event event) {
     events_.push_back(std::move(event));
 }
 
-void Core::run() {
+void Core::process_events() {
     if (running_) return;
     running_ = true;
     for (const auto& [handle, come_back] : std::exchange(turned_away_, {}))
-        finish(handle, Reply{.how = Answered::refused, .come_back = come_back});
+        finish(handle, Response{.status = ResponseStatus::rejected, .retry_after = come_back});
     while (!events_.empty()) {
-        const nettlethread::Event event = std::move(events_.front());
+        const routing::Event event = std::move(events_.front());
         events_.pop_front();
         handle(event);
     }
     running_ = false;
 }
 
-void Core::handle(const nettlethread::Event& event) {
+void Core::handle(const routing::Event& event) {
     actions_.clear();
     try {
         const Micros now = clock_.now();
-        if (const Micros span = clock_.stalled() - std::exchange(told_stalled_, clock_.stalled()); span > 0)
-            router_.handle(now, nettlethread::Stalled{span}, actions_);
+        if (const Micros span =
+                clock_.total_stall_time() - std::exchange(told_stalled_, clock_.total_stall_time());
+            span > 0)
+            router_.handle(now, routing::ProcessStalled{span}, actions_);
         router_.handle(now, event, actions_);
     } catch (const std::exception& fault) {
         // What it was about is answered by the core's own guard at its deadline.
         log::error("the module failed on an event: {}", fault.what());
     }
-    std::vector<nettlethread::Action> todo;
+    std::vector<routing::Action> todo;
     todo.swap(actions_);
-    for (const nettlethread::Action& action : todo) carry_out(action);
+    for (const routing::Action& action : todo) carry_out(action);
     todo.swap(actions_);
 }
 
-void Core::carry_out(const nettlethread::Action& action) {
+void Core::carry_out(const routing::Action& action) {
     std::visit([this](const auto& a) { do_act(a); }, action);
 }
 
-void Core::do_act(const nettlethread::LookUp& a) {
-    nettlethread::Serve serve;
+void Core::do_act(const routing::Lookup& a) {
+    routing::Forward serve;
     serve.id = a.id;
-    serve.cache = serve.source = a.cache;
+    serve.endpoint = serve.source = a.endpoint;
     serve.timeout = a.timeout;
     attempt(serve);
 }
 
-void Core::do_act(const nettlethread::Serve& a) {
+void Core::do_act(const routing::Forward& a) {
     attempt(a);
 }
 
-void Core::attempt(const nettlethread::Serve& serve) {
+void Core::attempt(const routing::Forward& serve) {
     const Handle owner = named(serve.id);
-    Request* request = requests_.find(owner);
+    OpenRequest* request = requests_.find(owner);
     const Micros now = clock_.now();
-    Attempt attempt;
+    OpenAttempt attempt;
     attempt.request = owner;
     attempt.name = serve.id;
-    attempt.target = serve.cache;
+    attempt.target = serve.endpoint;
     attempt.source = serve.source;
     attempt.sent = now;
-    attempt.stalled_before = clock_.stalled();
-    if (serve.age > 0) attempt.oldest = now - serve.age;
+    attempt.stalled_before = clock_.total_stall_time();
+    if (serve.max_age > 0) attempt.oldest = now - serve.max_age;
     if (!request) {  // it ended while the module decided
-        Outcome outcome;
+        AttemptFinished outcome;
         outcome.id = serve.id;
-        outcome.cache = serve.cache;
-        outcome.verdict = Verdict::never_sent;
-        outcome.ended = true;
+        outcome.endpoint = serve.endpoint;
+        outcome.status = AttemptStatus::not_sent;
+        outcome.request_finished = true;
         events_.push_back(std::move(outcome));
         return;
     }
@@ -295,104 +300,111 @@
     const Handle handle = attempts_.add(std::move(attempt));
     // Danger: what must not run twice goes out again only if nothing may have run. The module keeps to that;
     // this is the last look before the wire.
-    const bool once = settings_.classes[request->ask.service].semantics == Semantics::unsafe;
+    const bool once =
+        settings_.classes[request->request.class_index].retry_safety == RetrySafety::not_idempotent;
     const Micros latest = begin_by(*request);
     const bool forbidden = (once && (request->may_have_run || !request->out.empty())) ||
-                           (!settings_.second_copies && !request->out.empty()) ||
+                           (!settings_.hedging_allowed && !request->out.empty()) ||
                            (latest > 0 && now >= latest);
     if (forbidden)
-        log::error("attempt {} of {} held back: it may run twice", request->attempts, request->ask.id);
-    if (forbidden || limit <= 0 || request->attempts > settings_.most_tries)
-        return ended(handle, Ending{.verdict = limit <= 0 ? Verdict::timed_out : Verdict::never_sent});
+        log::error("attempt {} of {} held back: it may run twice", request->attempts, request->request.id);
+    if (forbidden || limit <= 0 || request->attempts > settings_.max_attempts)
+        return on_attempt_finished(
+            handle, AttemptResult{.status = limit <= 0 ? AttemptStatus::timed_out : AttemptStatus::not_sent});
     request->out.push_back(handle);
-    ++figures_.attempts;
+    ++metrics_.attempts;
     if (request->attempts == 1) {
-        figures_.own_us += static_cast<std::uint64_t>(std::max<Micros>(0, request->ask.left - left));
-        ++figures_.sent;
+        metrics_.dispatch_time_us +=
+            static_cast<std::uint64_t>(std::max<Micros>(0, request->request.time_left - left));
+        ++metrics_.dispatched;
     }
-    attempts_.find(handle)->limit = deadlines_.set(now + limit, [this, handle] {
-        const bool is_short = upstream_->is_short(handle);
-        const bool written = upstream_->stop(handle);
-        ended(handle, Ending{.verdict = written    ? Verdict::timed_out
-                                        : is_short ? Verdict::never_sent
-                                                   : Verdict::not_connected});
-        run();
+    attempts_.find(handle)->limit = deadlines_.schedule(now + limit, [this, handle] {
+        const bool is_short = upstream_->lacks_socket(handle);
+        const bool written = upstream_->cancel(handle);
+        on_attempt_finished(handle, AttemptResult{.status = written    ? AttemptStatus::timed_out
+                                                            : is_short ? AttemptStatus::not_sent
+                                                                       : AttemptStatus::connect_failed});
+        process_events();
     });
-    Sending sending;
+    AttemptRequest sending;
     sending.attempt = handle;
-    sending.target = serve.cache;
-    sending.source = serve.source == serve.cache ? std::string{} : serve.source;
-    sending.until = now + limit;
-    sending.age = serve.age;
+    sending.target = serve.endpoint;
+    sending.source = serve.source == serve.endpoint ? std::string{} : serve.source;
+    sending.deadline = now + limit;
+    sending.max_age = serve.max_age;
     if (const Micros most = oldest_ ? oldest_() : 0; most > 0) {
-        const Micros usual = serve.age > 0 ? serve.age : settings_.classes[request->ask.service].fresh;
-        sending.age = usual > 0 ? std::min(usual, most) : most;
+        const Micros usual = serve.max_age > 0
+                                 ? serve.max_age
+                                 : settings_.classes[request->request.class_index].freshness_lifetime;
+        sending.max_age = usual > 0 ? std::min(usual, most) : most;
     }
-    sending.rank = serve.rank;
-    sending.join = serve.join;
-    sending.source_holds = serve.source_holds;
-    sending.parent_skips = serve.parent_skips;
-    sending.renew = serve.renew;
-    sending.begin_by = latest;
-    sending.ask = &request->ask;
-    sending.avoid = request->channels;
-    request->channels.push_back(upstream_->send(sending));
+    sending.cache_priority = serve.cache_priority;
+    sending.coalesce = serve.coalesce;
+    sending.source_cached_only = serve.source_cached_only;
+    sending.parent_bypasses_cache = serve.parent_bypasses_cache;
+    sending.revalidate = serve.revalidate;
+    sending.start_deadline = latest;
+    sending.request = &request->request;
+    sending.avoid_connections = request->channels;
+    request->channels.push_back(upstream_->start(sending));
     log::debug(
         "sent req={} n={} cls={} kb={:.0f} object={}/{} at={} via={} join={} holds={} rank={} age_us={} "
         "group={} limit_us={}",
-        serve.id, request->attempts - 1, request->ask.service_name, request->ask.size_kb, request->ask.object,
-        request->ask.part, sending.target, sending.source, sending.join, sending.source_holds, sending.rank,
-        sending.age, request->ask.group, limit);
+        serve.id, request->attempts - 1, request->request.class_name, request->request.size_kb,
+        request->request.object, request->request.part, sending.target, sending.source, sending.coalesce,
+        sending.source_cached_only, sending.cache_priority, sending.max_age, request->request.purge_group,
+        limit);
 }
 
 // Repeats of a keyed request are dropped for as long as the class says, from the first that may have run on.
-Micros Core::begin_by(const Request& request) {
-    const nettlethread::ClassSettings& of = settings_.classes[request.ask.service];
-    if (of.semantics != Semantics::keyed) return 0;
+Micros Core::begin_by(const OpenRequest& request) {
+    const routing::ClassSettings& of = settings_.classes[request.request.class_index];
+    if (of.retry_safety != RetrySafety::with_idempotency_key) return 0;
     Micros since = request.ran_since;
     for (const Handle out : request.out) {
-        const Attempt* attempt = attempts_.find(out);
+        const OpenAttempt* attempt = attempts_.find(out);
         if (attempt) since = since > 0 ? std::min(since, attempt->sent) : attempt->sent;
     }
-    return since > 0 ? since + of.window : 0;
+    return since > 0 ? since + of.idempotency_window : 0;
 }
 
-void Core::do_act(const nettlethread::SetTimer& a) {
-    deadlines_.set(a.at, [this, token = a.token] {
-        events_.push_back(nettlethread::TimerDue{token});
-        run();
+void Core::do_act(const routing::SetTimer& a) {
+    deadlines_.schedule(a.at, [this, token = a.token] {
+        events_.push_back(routing::TimerExpired{token});
+        process_events();
     });
 }
 
-void Core::do_act(const nettlethread::Refuse& a) {
-    finish(named(a.id), Reply{.how = Answered::refused, .come_back = a.come_back});
+void Core::do_act(const routing::Reject& a) {
+    finish(named(a.id), Response{.status = ResponseStatus::rejected, .retry_after = a.retry_after});
 }
 
-void Core::do_act(const nettlethread::Fail& a) {
+void Core::do_act(const routing::Fail& a) {
     const Handle handle = named(a.id);
-    const Request* request = requests_.find(handle);
+    const OpenRequest* request = requests_.find(handle);
     const bool late = request && clock_.now() + 50'000 >= request->deadline;
-    finish(handle, Reply{.how = late ? Answered::out_of_time : Answered::failed});
+    finish(handle, Response{.status = late ? ResponseStatus::deadline_exceeded : ResponseStatus::failed});
 }
 
-void Core::do_act(const nettlethread::Cancel& a) {
+void Core::do_act(const routing::Cancel& a) {
     // The request may be over already; its attempts are found by name.
     const Handle owner = named(a.id);
     std::vector<Handle> hit;
-    attempts_.each([&](Handle handle, const Attempt& attempt) {
+    attempts_.for_each([&](Handle handle, const OpenAttempt& attempt) {
         if (attempt.request == owner && attempt.number == a.attempt) hit.push_back(handle);
     });
     for (const Handle handle : hit) {
-        const bool written = upstream_->stop(handle);
-        ended(handle, Ending{.verdict = written ? Verdict::called_off : Verdict::never_sent});
+        const bool written = upstream_->cancel(handle);
+        on_attempt_finished(
+            handle, AttemptResult{.status = written ? AttemptStatus::cancelled : AttemptStatus::not_sent});
     }
 }
 
-void Core::do_act(const nettlethread::CloseIdle& a) {
-    upstream_->close_idle(a.cache);
+void Core::do_act(const routing::CloseIdleConnections& a) {
+    upstream_->close_idle_connections(a.endpoint);
 }
 
-void Core::do_act(const nettlethread::Log& a) {
+void Core::do_act(const routing::LogMessage& a) {
     log::info("module: {}", a.text);
 }
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -15,204 +15,210 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "base/deadlines.h"
-#include "base/slots.h"
-#include "nettlethread/router.h"
+#include "base/slot_map.h"
+#include "base/timer_queue.h"
+#include "routing/router.h"
 
 namespace sumackeel::core {
 
 using base::Clock;
-using base::Deadlines;
 using base::Handle;
 using base::Micros;
-using base::Slots;
+using base::SlotMap;
+using base::TimerQueue;
 
 // What a client asks for.
-struct Ask {
+struct Request {
     std::string id;  // the client's own name for the request, passed on unchanged
-    int service = 0;
-    std::string service_name;
+    int class_index = 0;
+    std::string class_name;
     std::string object;
     int part = 0;
-    int group = 0;
+    int purge_group = 0;
     double size_kb = 0;
-    Micros came = 0;   // when its last byte came; 0: just now
-    Micros left = 0;   // from then until the client gives up
-    std::string have;  // the tag of a copy that the client holds
+    Micros received_at = 0;   // when its last byte came; 0: just now
+    Micros time_left = 0;     // from then until the client gives up
+    std::string client_etag;  // the tag of a copy that the client holds
     // The client's idempotency key, the same for all its tries of one operation; empty but in keyed classes.
     std::string idempotency_key;
     std::string body;
 };
 
-enum class Answered { served, same, refused, failed, out_of_time };
+enum class ResponseStatus { served, not_modified, rejected, failed, deadline_exceeded };
 
-struct Reply {
-    Answered how = Answered::failed;
+struct Response {
+    ResponseStatus status = ResponseStatus::failed;
     std::string body = {};
-    std::string tag = {};
-    Micros come_back = 0;  // refused: when to try again; 0: not said
+    std::string etag = {};
+    Micros retry_after = 0;  // refused: when to try again; 0: not said
 };
 
 // A front's side of one request.
-class Asker {
+class ResponseSink {
   public:
-    virtual ~Asker() = default;
+    virtual ~ResponseSink() = default;
     // Called once, never from within take().
-    virtual void answer(std::uint64_t cookie, Reply reply) = 0;
+    virtual void on_response(std::uint64_t cookie, Response reply) = 0;
 };
 
 // One attempt as upstream is to carry it.
-struct Sending {
+struct AttemptRequest {
     Handle attempt;
     std::string target, source;  // source empty: no fill
-    Micros until = 0;            // it will be waited for until then
-    Micros age = 0;
-    int rank = 0;
-    bool join = false, source_holds = false, parent_skips = false, renew = false;
+    Micros deadline = 0;         // it will be waited for until then
+    Micros max_age = 0;
+    int cache_priority = 0;
+    bool coalesce = false, source_cached_only = false, parent_bypasses_cache = false, revalidate = false;
     // Begun later than this it could run a second time; 0: there is no such moment.
-    Micros begin_by = 0;
-    const Ask* ask = nullptr;          // good during the call only
-    std::vector<std::uint64_t> avoid;  // channels that earlier attempts of the request used
+    Micros start_deadline = 0;
+    const Request* request = nullptr;              // good during the call only
+    std::vector<std::uint64_t> avoid_connections;  // channels that earlier attempts of the request used
 };
 
-struct Ending {
-    nettlethread::Verdict verdict = nettlethread::Verdict::error;
-    nettlethread::Note note = nettlethread::Note::none;
-    Micros first_byte = 0;
-    nettlethread::LoadReport load = {};
-    bool same = false;  // the client's copy is the one
+struct AttemptResult {
+    routing::AttemptStatus status = routing::AttemptStatus::error;
+    routing::CacheStatus cache_status = routing::CacheStatus::unknown;
+    Micros time_to_first_byte = 0;
+    routing::LoadReport load = {};
+    bool not_modified = false;  // the client's copy is the one
     std::string body = {};
-    std::string tag = {};
-    std::int64_t dated_ms = 0;  // Unix time at which the origin gave out this copy; 0: not told
+    std::string etag = {};
+    std::int64_t origin_date_ms = 0;  // Unix time at which the origin gave out this copy; 0: not told
 };
 
 // What came of requests since the start.
-struct Figures {
-    std::uint64_t answered[5] = {};  // by Answered
+struct Metrics {
+    std::uint64_t responses[5] = {};  // by Answered
     std::array<std::uint64_t, 16>
-        took{};                  // of those served: up to 2^i ms; the last one takes all that is longer
+        latency_histogram{};     // of those served: up to 2^i ms; the last one takes all that is longer
     std::uint64_t attempts = 0;  // handed to upstream
-    std::uint64_t own_us = 0, sent = 0;  // from taking a request to its first attempt, summed; of how many
+    std::uint64_t dispatch_time_us = 0,
+                  dispatched = 0;  // from taking a request to its first attempt, summed; of how many
 };
 
 class Upstream {
   public:
     virtual ~Upstream() = default;
     // Never ends the attempt from within the call. Returns the channel that carries it.
-    virtual std::uint64_t send(const Sending& sending) = 0;
+    virtual std::uint64_t start(const AttemptRequest& sending) = 0;
     // Gives the attempt up. False: not a byte of it had been written, so it never ran.
-    virtual bool stop(Handle attempt) = 0;
+    virtual bool cancel(Handle attempt) = 0;
     // Whether the attempt waits and not a byte of it has been written.
-    virtual bool unbegun(Handle attempt) const = 0;
+    virtual bool not_started(Handle attempt) const = 0;
     // Whether it waits for a socket that this process can't make: that is no failure of its target.
-    virtual bool is_short(Handle attempt) const { return static_cast<void>(attempt), false; }
-    virtual void close_idle(const std::string& target) = 0;
+    virtual bool lacks_socket(Handle attempt) const { return static_cast<void>(attempt), false; }
+    virtual void close_idle_connections(const std::string& target) = 0;
 };
 
 class Core {
   public:
-    Core(const nettlethread::Settings& settings, std::uint64_t seed, Clock& clock, Deadlines& deadlines);
+    Core(const routing::Settings& settings, std::uint64_t seed, Clock& clock, TimerQueue& deadlines);
 
     void attach(Upstream& upstream) { upstream_ = &upstream; }
     // Asked of each request taken: none, or when to come back, and it is refused at once, unseen by the
     // module.
-    void gate(std::function<std::optional<Micros>(const Ask&)> what) { gate_ = std::move(what); }
+    void set_admission_check(std::function<std::optional<Micros>(const Request&)> what) {
+        gate_ = std::move(what);
+    }
     // The oldest copy that will do at all, as an age; 0: any.
-    void oldest(std::function<Micros()> age) { oldest_ = std::move(age); }
+    void set_max_copy_age(std::function<Micros()> age) { oldest_ = std::move(age); }
     // Told of each attempt that was served, with the source that was named for a fill.
-    void on_served(std::function<void(const Ask&, const std::string& source, nettlethread::Note)> what) {
+    void on_served(
+        std::function<void(const Request&, const std::string& source, routing::CacheStatus)> what) {
         served_ = std::move(what);
     }
     // Told of each target that answers an attempt, with whatever answer: its process runs.
-    void on_answer(std::function<void(const std::string& target)> what) { answered_ = std::move(what); }
+    void on_endpoint_response(std::function<void(const std::string& target)> what) {
+        answered_ = std::move(what);
+    }
 
     // Takes a request; its one answer goes to `asker`. The front calls run() when its turn is over.
-    Handle take(Ask ask, Asker& asker, std::uint64_t cookie);
-    void leave(Handle request);  // the client no longer waits: no answer is owed
-    void ended(Handle attempt, Ending ending);
-    void tell(nettlethread::Event event);  // news of the fleet and purges
-    void run();                            // works off what has come in
+    Handle submit(Request ask, ResponseSink& asker, std::uint64_t cookie);
+    void cancel(Handle request);  // the client no longer waits: no answer is owed
+    void on_attempt_finished(Handle attempt, AttemptResult ending);
+    void notify(routing::Event event);  // news of the fleet and purges
+    void process_events();              // works off what has come in
 
     std::size_t open_requests() const { return requests_.size(); }
-    const Figures& figures() const { return figures_; }
+    const Metrics& metrics() const { return metrics_; }
     // The process is to be gone by `at`: what the module has not answered by then gets the core's own last
     // word (out of time) at `at`, so that no client is left with a connection that dies unanswered. Requests
     // taken from now on have until then and no longer: what can't end by `at` is refused at once.
-    void last_word_by(Micros at);
+    void set_shutdown_deadline(Micros at);
     // This request is to have its answer by `at` where nobody gave one before; nothing: by its own deadline.
-    void answer_by(Handle request, std::optional<Micros> at);
+    void set_response_deadline(Handle request, std::optional<Micros> at);
     // Danger: caches know a request by its client's id alone. Two open under one id would get each other's
     // answers, so fronts turn the second away.
     bool is_open(const std::string& id) const { return ids_.contains(id); }
-    const nettlethread::Settings& settings() const { return settings_; }
+    const routing::Settings& settings() const { return settings_; }
 
   private:
-    struct Request {
-        Ask ask;
-        Asker* asker = nullptr;
+    struct OpenRequest {
+        Request request;
+        ResponseSink* sink = nullptr;
         std::uint64_t cookie = 0;
         std::string name;  // what the module calls it
         Micros deadline = 0;
-        std::optional<Micros> answer_by;  // sooner than the deadline
-        Deadlines::Key guard;
+        std::optional<Micros> response_deadline;  // sooner than the deadline
+        TimerQueue::Key guard;
         std::vector<Handle> out;
         int attempts = 0;
         bool may_have_run = false;
         Micros ran_since = 0;  // the first attempt that may have run was sent then
         std::vector<std::uint64_t> channels;
     };
-    struct Attempt {
+    struct OpenAttempt {
         Handle request;
         std::string name, target, source;
         int number = 0;
         Micros sent = 0;
         Micros stalled_before = 0;  // for how long the process had stood still in all when it was sent
         Micros oldest = 0;          // a copy given out before this was not asked for; 0: any will do
-        Deadlines::Key limit;
+        TimerQueue::Key limit;
     };
 
-    void handle(const nettlethread::Event& event);
-    void carry_out(const nettlethread::Action& action);
-    void do_act(const nettlethread::LookUp& a);
-    void do_act(const nettlethread::Serve& a);
-    void do_act(const nettlethread::SetTimer& a);
-    void do_act(const nettlethread::Refuse& a);
-    void do_act(const nettlethread::Fail& a);
-    void do_act(const nettlethread::Cancel& a);
-    void do_act(const nettlethread::CloseIdle& a);
-    void do_act(const nettlethread::Log& a);
-    void do_act(const nettlethread::WatchList&) {}  // the change log is always followed
-    void do_act(const nettlethread::FetchList&) {}
-    void do_act(const nettlethread::Probe&) {}  // neither is permitted here
-    void do_act(const nettlethread::TellPeer&) {}
-    void attempt(const nettlethread::Serve& serve);
-    void finish(Handle request, Reply reply);
+    void handle(const routing::Event& event);
+    void carry_out(const routing::Action& action);
+    void do_act(const routing::Lookup& a);
+    void do_act(const routing::Forward& a);
+    void do_act(const routing::SetTimer& a);
+    void do_act(const routing::Reject& a);
+    void do_act(const routing::Fail& a);
+    void do_act(const routing::Cancel& a);
+    void do_act(const routing::CloseIdleConnections& a);
+    void do_act(const routing::LogMessage& a);
+    void do_act(const routing::WatchEndpoints&) {}  // the change log is always followed
+    void do_act(const routing::PollEndpoints&) {}
+    void do_act(const routing::SendHealthCheck&) {}  // neither is permitted here
+    void do_act(const routing::SendGossip&) {}
+    void attempt(const routing::Forward& serve);
+    void finish(Handle request, Response reply);
     void time_up(Handle request);
-    std::optional<Request> forget(Handle request);
-    Micros begin_by(const Request& request);
-    Deadlines::Key guard(Handle handle, const Request& request);
-    void renew_guard(Handle handle, Request& request);
+    std::optional<OpenRequest> forget(Handle request);
+    Micros begin_by(const OpenRequest& request);
+    TimerQueue::Key guard(Handle handle, const OpenRequest& request);
+    void renew_guard(Handle handle, OpenRequest& request);
     Handle named(std::string_view name) const;
 
-    nettlethread::Settings settings_;
-    nettlethread::Router router_;
+    routing::Settings settings_;
+    routing::Router router_;
     Clock& clock_;
-    Deadlines& deadlines_;
+    TimerQueue& deadlines_;
     Upstream* upstream_ = nullptr;
-    Slots<Request> requests_;
+    SlotMap<OpenRequest> requests_;
     std::unordered_set<std::string> ids_;  // of the requests open, as clients name them
-    Slots<Attempt> attempts_;
+    SlotMap<OpenAttempt> attempts_;
     std::function<void(const std::string&)> answered_;
-    std::function<std::optional<Micros>(const Ask&)> gate_;
-    std::function<void(const Ask&, const std::string&, nettlethread::Note)> served_;
+    std::function<std::optional<Micros>(const Request&)> gate_;
+    std::function<void(const Request&, const std::string&, routing::CacheStatus)> served_;
     std::function<Micros()> oldest_;
     std::vector<std::pair<Handle, Micros>> turned_away_;  // by the gate, answered in the next run()
-    std::deque<nettlethread::Event> events_;
-    std::vector<nettlethread::Action> actions_;
+    std::deque<routing::Event> events_;
+    std::vector<routing::Action> actions_;
     bool running_ = false;
-    Figures figures_;
-    Micros last_word_ = 0;     // 0: no end is near
-    Micros told_stalled_ = 0;  // of the clock's stalled(), what the module knows
+    Metrics metrics_;
+    Micros shutdown_deadline_ = 0;  // 0: no end is near
+    Micros told_stalled_ = 0;       // of the clock's stalled(), what the module knows
 };
 
 }  // namespace sumackeel::core
--- a/src/core/one_time.h
+++ b/src/core/one_time_tokens.h
@@ -8,24 +8,24 @@
 
 namespace sumackeel::core {
 
-enum class Use { first, again, unknown };  // unknown: it can't be told now, so the use is not granted
+enum class TokenUse { first, reused, unknown };  // unknown: it can't be told now, so the use is not granted
 
-class OneTime {
+class OneTimeTokens {
   public:
-    using Done = std::function<void(Use)>;
-    virtual ~OneTime() = default;
+    using Done = std::function<void(TokenUse)>;
+    virtual ~OneTimeTokens() = default;
     // `until` in Unix seconds: from then on the link has expired anyway. `done` is called once.
-    virtual void use(const std::string& name, double now, double until, Done done) = 0;
+    virtual void redeem(const std::string& name, double now, double until, Done done) = 0;
     // The request was refused and never ran: the link may be used after all.
-    virtual void give_back(const std::string& name) = 0;
+    virtual void release(const std::string& name) = 0;
 };
 
 // For a single proxy: its own memory. A restart forgets, so links should be short-lived.
-class LocalOneTime : public OneTime {
+class LocalOneTimeTokens : public OneTimeTokens {
   public:
-    explicit LocalOneTime(std::size_t most = 100'000) : most_(most) {}
-    void use(const std::string& name, double now, double until, Done done) override;
-    void give_back(const std::string& name) override;
+    explicit LocalOneTimeTokens(std::size_t most = 100'000) : most_(most) {}
+    void redeem(const std::string& name, double now, double until, Done done) override;
+    void release(const std::string& name) override;
 
   private:
     std::size_t most_;
--- a/src/daemon/board_transfer.cpp
+++ b/src/daemon/admin_state_handover.cpp
@@ -1,4 +1,4 @@
-#include "daemon/board_transfer.h"
+#include "daemon/admin_state_handover.h"
 
 #include <utility>
 
@@ -17,36 +17,36 @@
 
 }  // namespace
 
-BoardTransfer::BoardTransfer(net::Loop& loop, ops::Board& board, std::string path, Hooks hooks)
-    : loop_(loop), board_(board), path_(std::move(path)), hooks_(std::move(hooks)), file_(loop, path_) {}
+AdminStateHandover::AdminStateHandover(net::Loop& loop, admin::State& board, std::string path, Hooks hooks)
+    : loop_(loop), state_(board), path_(std::move(path)), hooks_(std::move(hooks)), file_(loop, path_) {}
 
-void BoardTransfer::take(Micros until, bool follows) {
+void AdminStateHandover::take(Micros until, bool follows) {
     follows_ = follows;
-    patience_ = loop_.deadlines().set(until, [this] { took(std::nullopt); });
+    patience_ = loop_.timers().schedule(until, [this] { took(std::nullopt); });
     read();
 }
 
 // Danger: taken for none, a file that can't be read for a moment would have its bans forgotten.
-void BoardTransfer::read() {
+void AdminStateHandover::read() {
     file_.read([this](const std::optional<std::string>& text) {
         if (text) return took(text);
         if (ended_ || taken_) return;
-        loop_.deadlines().set(loop_.clock().now() + kReadAgain, [this] { read(); });
+        loop_.timers().schedule(loop_.clock().now() + kReadAgain, [this] { read(); });
     });
 }
 
 // Nothing: it could not be read in time, and is looked for further on.
-void BoardTransfer::took(const std::optional<std::string>& text) {
+void AdminStateHandover::took(const std::optional<std::string>& text) {
     if (ended_ || std::exchange(taken_, true)) return;
     read_ = text.has_value();
-    if (patience_) loop_.deadlines().drop(*patience_);
-    board_.able();
+    if (patience_) loop_.timers().cancel(*patience_);
+    state_.on_started();
     text_before_ = text.value_or("");
     if (auto before = board_in(text_before_)) {
-        board_.take_over(*before);
+        state_.adopt(*before);
         before_ = *before;
-        log::info("hand-over taken: {} pop caches down, {}", board_.bans().size(),
-                  ops::name_of(board_.phase()));
+        log::info("hand-over taken: {} pop caches down, {}", state_.bans().size(),
+                  admin::name_of(state_.phase()));
     }
     if ((follows_ || !text) && file_.used()) follow(loop_.clock().now() + kFollowFor);
     hooks_.taken(read_ && std::exchange(called_early_, false));
@@ -54,12 +54,12 @@
 
 // Danger: a call that the process before this one takes after its file was read here would be lost with it,
 // and a pop cache taken out would go on being asked.
-void BoardTransfer::follow(Micros until) {
+void AdminStateHandover::follow(Micros until) {
     if (ended_) return;
     if (loop_.clock().now() >= until) return give_up_reading();
-    loop_.deadlines().set(loop_.clock().now() + kLookEvery, [this, until] {
+    loop_.timers().schedule(loop_.clock().now() + kLookEvery, [this, until] {
         // Danger: a text of our own that a write of ours took the place of meanwhile is none of the others'.
-        if (!file_.disk().owes())
+        if (!file_.disk().has_unwritten())
             file_.read([this, written = own_texts_](const std::optional<std::string>& text) {
                 if (text && written == own_texts_) followed(*text);
             });
@@ -67,7 +67,7 @@
     });
 }
 
-void BoardTransfer::followed(const std::string& text) {
+void AdminStateHandover::followed(const std::string& text) {
     if (ended_) return;
     read_ = true;
     const bool early = std::exchange(called_early_, false);
@@ -77,37 +77,37 @@
     if (text != own_text_ && !own_text_.empty()) write();
 }
 
-void BoardTransfer::heard_from_before(const std::string& text) {
+void AdminStateHandover::heard_from_before(const std::string& text) {
     text_before_ = text;
     if (const auto told = board_in(text)) {
-        board_.follow(before_, *told);
+        state_.apply_difference(before_, *told);
         before_ = *told;
-        log::info("hand-over followed: {} pop caches down, {}", board_.bans().size(),
-                  ops::name_of(board_.phase()));
+        log::info("hand-over followed: {} pop caches down, {}", state_.bans().size(),
+                  admin::name_of(state_.phase()));
         hooks_.followed();
     }
     hooks_.owed();
 }
 
 // What is there can't be read at all: what was told since goes over it.
-void BoardTransfer::give_up_reading() {
+void AdminStateHandover::give_up_reading() {
     read_ = true;
     if (std::exchange(called_early_, false)) hooks_.owed();
 }
 
-std::optional<ops::Board> BoardTransfer::board_in(const std::string& text) const {
+std::optional<admin::State> AdminStateHandover::board_in(const std::string& text) const {
     if (text.empty()) return std::nullopt;
-    ops::Read read = ops::read_hand_over(text);
-    if (!read.board) log::warn("hand-over file {} is passed over: {}", path_, read.fault);
-    return std::move(read.board);
+    admin::DecodedState read = admin::decode_state(text);
+    if (!read.state) log::warn("hand-over file {} is passed over: {}", path_, read.error);
+    return std::move(read.state);
 }
 
-void BoardTransfer::keep() {
-    own_text_ = board_.hand_over();
+void AdminStateHandover::keep() {
+    own_text_ = state_.encode();
     write();
 }
 
-void BoardTransfer::write() {
+void AdminStateHandover::write() {
     // Danger: what the process before handed over is not read yet, and would be gone.
     if (!read_) return void(called_early_ = true);
     ++own_texts_;
--- a/src/daemon/board_transfer.h
+++ b/src/daemon/admin_state_handover.h
@@ -7,13 +7,13 @@
 #include <optional>
 #include <string>
 
-#include "daemon/hand_over.h"
+#include "admin/state.h"
+#include "daemon/handover_file.h"
 #include "net/loop.h"
-#include "ops/board.h"
 
 namespace sumackeel::daemon {
 
-class BoardTransfer {
+class AdminStateHandover {
   public:
     struct Hooks {
         // What was handed over is on the board now. `owed`: a call came before, and the board is to be kept.
@@ -23,7 +23,7 @@
     };
 
     // An empty path: nothing is taken over or kept.
-    BoardTransfer(net::Loop& loop, ops::Board& board, std::string path, Hooks hooks);
+    AdminStateHandover(net::Loop& loop, admin::State& board, std::string path, Hooks hooks);
 
     // Reads what was handed over, until then at the longest. `follows`: the process before this one goes on
     // for a while, and what it is told meanwhile is looked for.
@@ -32,7 +32,7 @@
     void keep();
     void end() { ended_ = true; }  // nothing more is taken over
 
-    net::LatestOnDisk& disk() { return file_.disk(); }
+    net::LatestValueWriter& disk() { return file_.disk(); }
     bool disk_busy() const { return file_.disk_busy(); }
     bool waits_to_be_read() const { return called_early_; }  // nothing is written over what is not read
 
@@ -43,18 +43,18 @@
     void followed(const std::string& text);
     void heard_from_before(const std::string& text);
     void give_up_reading();
-    std::optional<ops::Board> board_in(const std::string& text) const;
+    std::optional<admin::State> board_in(const std::string& text) const;
     void write();
 
     net::Loop& loop_;
-    ops::Board& board_;
+    admin::State& state_;
     const std::string path_;
     const Hooks hooks_;
-    HandOverFile file_;
-    ops::Board before_;  // of the process before this one, as last told
+    HandoverFile file_;
+    admin::State before_;  // of the process before this one, as last told
     std::string text_before_, own_text_;
-    std::uint64_t own_texts_ = 0;                   // written so far
-    std::optional<base::Deadlines::Key> patience_;  // when the first read is no longer waited for
+    std::uint64_t own_texts_ = 0;                    // written so far
+    std::optional<base::TimerQueue::Key> patience_;  // when the first read is no longer waited for
     bool follows_ = false;
     bool taken_ = false;         // what was handed over, or that there was nothing
     bool read_ = false;          // until then nothing is written over it
--- a/src/daemon/leaves.h
+++ b/src/daemon/disruption_budget.h
@@ -6,22 +6,23 @@
 #include <string>
 #include <vector>
 
+#include "cluster/membership.h"
 #include "config/config.h"
 #include "config/operator.h"
-#include "group/group.h"
-#include "membership/view.h"
+#include "endpoints/endpoint_view.h"
 #include "rollout/rollout.h"
 
 namespace sumackeel::daemon {
 
-class Leaves {
+class DisruptionBudgetView {
   public:
-    Leaves(const config::Site& site, base::Micros gone_counts) : site_(site), gone_counts_(gone_counts) {}
+    DisruptionBudgetView(const config::Site& site, base::Micros gone_counts)
+        : site_(site), gone_counts_(gone_counts) {}
 
     // Pop caches and parents, the origin apart. Out: draining, gone for less than gone_counts, or cold.
-    std::vector<rollout::Seen> pop_caches(const membership::View& view, base::Micros now);
+    std::vector<rollout::FleetMember> pop_caches(const endpoints::EndpointView& view, base::Micros now);
     // Proxies. Out: whoever does not serve for sure. `draining`: this one does.
-    std::vector<rollout::Seen> proxies(const group::Group& group, bool draining) const;
+    std::vector<rollout::FleetMember> proxies(const cluster::Membership& group, bool draining) const;
 
   private:
     std::string hub_of(int zone) const;
--- a/src/daemon/drain_report.cpp
+++ b/src/daemon/drain_report.cpp
@@ -13,40 +13,44 @@
 constexpr base::Micros kNoneHeld = 4'000'000;  // the operators' page: from then on no connection is held
 
 // Connections by what they do, and why those that are gone have ended.
-std::string described(const net::Door& door) {
-    using net::Doing;
-    std::string text = fmt::format("{} connections", door.connections());
-    for (const Doing doing :
-         {Doing::arriving, Doing::sending, Doing::idle, Doing::unsent, Doing::busy, Doing::leaving})
-        if (const std::size_t count = door.doing(doing); count > 0)
+std::string described(const net::ConnectionManager& door) {
+    using net::ConnectionState;
+    std::string text = fmt::format("{} connections", door.connection_count());
+    for (const ConnectionState doing :
+         {ConnectionState::awaiting_request, ConnectionState::receiving, ConnectionState::idle,
+          ConnectionState::flushing, ConnectionState::processing, ConnectionState::half_closed})
+        if (const std::size_t count = door.count(doing); count > 0)
             text += fmt::format(", {} {}", count, net::name_of(doing));
     return text;
 }
 
 }  // namespace
 
-void DrainReport::now(const ops::Drain& drain) {
+void DrainReport::now(const admin::DrainSchedule& drain) {
     if (drain == drain_) return;
-    const ops::Drain before = std::exchange(drain_, drain);
+    const admin::DrainSchedule before = std::exchange(drain_, drain);
     current_ = std::make_shared<bool>(true);
-    if (!drain.on()) return log::info("drain over after {} ms", before.age(loop_.clock().now()) / 1000);
+    if (!drain.is_active())
+        return log::info("drain over after {} ms", before.age(loop_.clock().now()) / 1000);
     line();
-    for (const base::Micros at : {ops::Drain::kServing, ops::Drain::kAnswered, kNoneHeld}) line_at(at);
+    for (const base::Micros at : {admin::DrainSchedule::kServing, admin::DrainSchedule::kAnswered, kNoneHeld})
+        line_at(at);
 }
 
 void DrainReport::line_at(base::Micros since_began) {
     const base::Micros wait = since_began - drain_.age(loop_.clock().now());
-    loop_.deadlines().set(loop_.clock().now() + wait, [this, current = std::weak_ptr<bool>(current_)] {
+    loop_.timers().schedule(loop_.clock().now() + wait, [this, current = std::weak_ptr<bool>(current_)] {
         if (!current.expired()) line();
     });
 }
 
 void DrainReport::line() const {
-    const auto& figures = front_.drain_figures();
-    std::string text = fmt::format("drain at {} ms: {}; {} refused, {} held, {} hurried since the start",
-                                   drain_.age(loop_.clock().now()) / 1000, described(front_.door()),
-                                   figures.refused, figures.held, figures.hurried);
-    if (signed_front_) text += fmt::format("; signed: {}", described(signed_front_->door()));
+    const auto& figures = front_.drain_metrics();
+    std::string text =
+        fmt::format("drain at {} ms: {}; {} refused, {} held, {} hurried since the start",
+                    drain_.age(loop_.clock().now()) / 1000, described(front_.connection_manager()),
+                    figures.rejected, figures.held, figures.hurried);
+    if (signed_front_) text += fmt::format("; signed: {}", described(signed_front_->connection_manager()));
     log::info("{}", text);
 }
 
--- a/src/daemon/drain_report.h
+++ b/src/daemon/drain_report.h
@@ -4,30 +4,31 @@
 
 #include <memory>
 
-#include "front_platform/front.h"
-#include "front_signed/front.h"
+#include "admin/drain_schedule.h"
 #include "net/loop.h"
-#include "ops/drain.h"
+#include "platform_server/platform_server.h"
+#include "signed_url_server/signed_url_server.h"
 
 namespace sumackeel::daemon {
 
 class DrainReport {
   public:
     // `signed_front` may be null.
-    DrainReport(net::Loop& loop, const front_platform::Front& front, const front_signed::Front* signed_front)
+    DrainReport(net::Loop& loop, const platform_server::PlatformServer& front,
+                const signed_url_server::SignedUrlServer* signed_front)
         : loop_(loop), front_(front), signed_front_(signed_front) {}
 
     // A drain that began, goes on, or is over: told with each change of the board.
-    void now(const ops::Drain& drain);
+    void now(const admin::DrainSchedule& drain);
 
   private:
     void line() const;
     void line_at(base::Micros since_began);
 
     net::Loop& loop_;
-    const front_platform::Front& front_;
-    const front_signed::Front* signed_front_;
-    ops::Drain drain_;
+    const platform_server::PlatformServer& front_;
+    const signed_url_server::SignedUrlServer* signed_front_;
+    admin::DrainSchedule drain_;
     std::shared_ptr<bool> current_;  // for what is set in the loop; anew with each drain
 };
 
--- a/src/daemon/kept_replies.cpp
+++ b/src/daemon/durable_replies.cpp
@@ -1,4 +1,4 @@
-#include "daemon/kept_replies.h"
+#include "daemon/durable_replies.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,36 +14,38 @@
 
 }  // namespace
 
-KeptReplies::~KeptReplies() {
-    for (const auto& [number, one] : waiting_) loop_.deadlines().drop(one.latest);
+DurableReplies::~DurableReplies() {
+    for (const auto& [number, one] : waiting_) loop_.timers().cancel(one.latest);
 }
 
-std::optional<ops::Reply> KeptReplies::give(ops::Reply reply, const front_ops::Later& later) {
+std::optional<admin::ApiReply> DurableReplies::reply_when_durable(admin::ApiReply reply,
+                                                                  const admin_server::DeferredReply& later) {
     const base::Micros wait = kWaitForDisk - disks_.silent_for();
     if (!disks_.undecided() || wait <= 0) return worded(std::move(reply));
     const std::uint64_t number = next_++;
-    const auto latest = loop_.deadlines().set(loop_.clock().now() + wait, [this, number] { answer(number); });
+    const auto latest =
+        loop_.timers().schedule(loop_.clock().now() + wait, [this, number] { answer(number); });
     waiting_.emplace(number, Waiting{std::move(reply), later, latest});
     return std::nullopt;
 }
 
-void KeptReplies::look() {
+void DurableReplies::on_write_finished() {
     if (disks_.undecided()) return;
     std::vector<std::uint64_t> all;
     for (const auto& [number, one] : waiting_) all.push_back(number);
     for (const std::uint64_t number : all) answer(number);
 }
 
-void KeptReplies::answer(std::uint64_t number) {
+void DurableReplies::answer(std::uint64_t number) {
     const auto found = waiting_.find(number);
     if (found == waiting_.end()) return;
     const Waiting one = std::move(found->second);
     waiting_.erase(found);
-    loop_.deadlines().drop(one.latest);
+    loop_.timers().cancel(one.latest);
     one.later(worded(one.reply));
 }
 
-ops::Reply KeptReplies::worded(ops::Reply reply) const {
+admin::ApiReply DurableReplies::worded(admin::ApiReply reply) const {
     const std::string missing = disks_.missing();
     if (!missing.empty()) reply.body += "not kept yet, trying again: " + missing + "\n";
     return reply;
--- a/src/daemon/kept_replies.h
+++ b/src/daemon/durable_replies.h
@@ -6,13 +6,13 @@
 #include <functional>
 #include <map>
 
-#include "front_ops/front.h"
+#include "admin/api.h"
+#include "admin_server/admin_server.h"
 #include "net/loop.h"
-#include "ops/calls.h"
 
 namespace sumackeel::daemon {
 
-class KeptReplies {
+class DurableReplies {
   public:
     // What the disks say. Of all files together.
     struct Disks {
@@ -21,20 +21,21 @@
         std::function<base::Micros()> silent_for;  // for how long a write has been under way
     };
 
-    KeptReplies(net::Loop& loop, Disks disks) : loop_(loop), disks_(std::move(disks)) {}
-    ~KeptReplies();
+    DurableReplies(net::Loop& loop, Disks disks) : loop_(loop), disks_(std::move(disks)) {}
+    ~DurableReplies();
 
     // The reply at once, or none: then by `later`.
-    std::optional<ops::Reply> give(ops::Reply reply, const front_ops::Later& later);
-    void look();  // a write has ended
+    std::optional<admin::ApiReply> reply_when_durable(admin::ApiReply reply,
+                                                      const admin_server::DeferredReply& later);
+    void on_write_finished();  // a write has ended
 
   private:
     struct Waiting {
-        ops::Reply reply;
-        front_ops::Later later;
-        base::Deadlines::Key latest;
+        admin::ApiReply reply;
+        admin_server::DeferredReply later;
+        base::TimerQueue::Key latest;
     };
-    ops::Reply worded(ops::Reply reply) const;
+    admin::ApiReply worded(admin::ApiReply reply) const;
     void answer(std::uint64_t number);
 
     net::Loop& loop_;
--- a/src/daemon/expectation_gate.cpp
+++ b/src/daemon/expectation_gate.cpp
@@ -15,11 +15,11 @@
 
 namespace sumackeel::daemon {
 
-SuiteRun run_suite(const expect::Fleet& fleet, const expect::Suite& suite, int threads,
+SuiteRun run_suite(const expectations::FleetModel& fleet, const expectations::Suite& suite, int threads,
                    const std::function<bool(std::size_t, std::size_t)>& go_on) {
     SuiteRun run;
-    run.worlds = expect::enumerate(fleet, suite);
-    std::vector<std::optional<expect::Outcome>> outcomes(run.worlds.size());
+    run.worlds = expectations::enumerate(fleet, suite);
+    std::vector<std::optional<expectations::Outcome>> outcomes(run.worlds.size());
     std::atomic<std::size_t> next = 0;
     std::atomic<bool> stop = false;
     std::mutex mutex;
@@ -29,7 +29,7 @@
     const auto work = [&] {
         for (std::size_t i; !stop && (i = next++) < run.worlds.size();) {
             try {
-                outcomes[i] = expect::run_world(run.worlds[i], fleet, suite);
+                outcomes[i] = expectations::run_world(run.worlds[i], fleet, suite);
             } catch (const std::exception& wrong) {  // nothing may be thrown out of a thread
                 const std::lock_guard held(mutex);
                 fault = fmt::format("world '{}' can't be run: {}", run.worlds[i].title, wrong.what());
@@ -85,34 +85,34 @@
 }  // namespace
 
 std::string settings_of_config(const std::string& config_file) {
-    return settings_in(config::file_text(config_file), config_file);
+    return settings_in(config::read_file(config_file), config_file);
 }
 
-expect::Fleet fleet_of_config(const std::string& config_file) {
-    return fleet_of_text(config::file_text(config_file), config_file);
+expectations::FleetModel fleet_of_config(const std::string& config_file) {
+    return fleet_of_text(config::read_file(config_file), config_file);
 }
 
-expect::Fleet fleet_of_text(const std::string& text, const std::string& config_file) {
-    return expect::make_fleet(settings_in(text, config_file), config::read_config(text).known);
+expectations::FleetModel fleet_of_text(const std::string& text, const std::string& config_file) {
+    return expectations::make_fleet(settings_in(text, config_file), config::parse_config(text).known);
 }
 
-expect::Suite load_suite(const std::string& file, const expect::Fleet& fleet) {
-    return expect::read_suite(config::read_toml(config::file_text(file), file), file, fleet);
+expectations::Suite load_suite(const std::string& file, const expectations::FleetModel& fleet) {
+    return expectations::read_suite(config::read_toml(config::read_file(file), file), file, fleet);
 }
 
-GateVerdict check_expectations(const expect::Fleet& fleet, const config::Expectations& setup, int threads,
-                               const std::atomic<bool>& stop) {
-    const expect::Suite suite = load_suite(setup.file, fleet);
+GateVerdict check_expectations(const expectations::FleetModel& fleet, const config::Expectations& setup,
+                               int threads, const std::atomic<bool>& stop) {
+    const expectations::Suite suite = load_suite(setup.file, fleet);
     const auto until = std::chrono::steady_clock::now() + std::chrono::microseconds(setup.budget);
     const SuiteRun run = run_suite(fleet, suite, threads, [&](std::size_t, std::size_t) {
         return !stop && std::chrono::steady_clock::now() < until;
     });
     GateVerdict verdict{{}, run.worlds_run, run.worlds.size()};
     for (std::size_t i = 0; i < suite.expectations.size(); ++i) {
-        const expect::Expectation& one = suite.expectations[i];
-        const expect::Tally& tally = run.tallies[i];
-        const expect::Verdict found = expect::verdict_of(one, tally);
-        if (found.holds != expect::Holds::broken) continue;
+        const expectations::Expectation& one = suite.expectations[i];
+        const expectations::Counts& tally = run.tallies[i];
+        const expectations::Evaluation found = expectations::verdict_of(one, tally);
+        if (found.holds != expectations::Conclusion::broken) continue;
         verdict.broken.push_back(fmt::format(
             "{}, because {}: {}", one.name, one.reason,
             tally.first ? fmt::format("{}: {}", run.worlds[tally.first->world].title, tally.first->what)
--- a/src/daemon/hand_over.h
+++ b/src/daemon/handover_file.h
@@ -8,29 +8,29 @@
 #include <optional>
 #include <string>
 
-#include "net/latest_on_disk.h"
+#include "net/background_task.h"
+#include "net/latest_value_writer.h"
 #include "net/loop.h"
-#include "net/off_loop.h"
 
 namespace sumackeel::daemon {
 
-class HandOverFile {
+class HandoverFile {
   public:
     // An empty path: nothing is read or kept.
-    HandOverFile(net::Loop& loop, std::string path);
+    HandoverFile(net::Loop& loop, std::string path);
 
     bool used() const { return !path_.empty(); }
     // `then` gets what is there: empty where there is no file, nothing where it can't be read just now. Not
     // called where the disk hangs, nor while another read is under way.
     void read(std::function<void(const std::optional<std::string>& text)> then);
     void keep(std::string text);
-    net::LatestOnDisk& disk() { return writes_; }
+    net::LatestValueWriter& disk() { return writes_; }
     bool disk_busy() const { return writes_.writing() || reads_.busy(); }
 
   private:
     std::string path_;
-    net::LatestOnDisk writes_;
-    net::OffLoop reads_;
+    net::LatestValueWriter writes_;
+    net::BackgroundTask reads_;
 };
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/registry.h
+++ b/src/daemon/kv_store_service.h
@@ -9,55 +9,56 @@
 #include <string>
 #include <vector>
 
+#include "admin/api.h"
+#include "admin_server/admin_server.h"
+#include "cluster_transport/cluster_transport.h"
 #include "config/operator.h"
-#include "front_ops/front.h"
+#include "consensus/consensus_client.h"
 #include "net/loop.h"
-#include "ops/calls.h"
-#include "peers/agreed.h"
-#include "peers/peers.h"
-#include "store/desk.h"
-#include "store/old_store.h"
+#include "store/legacy_store_import.h"
+#include "store/store_api.h"
 
 namespace sumackeel::daemon {
 
-class Registry {
+class KvStoreService {
   public:
-    using Purged = std::function<void(const registry::Purge&)>;
+    using Purged = std::function<void(const kv_store::Purge&)>;
 
     // Agreed and peers outlive this. `purged`: each purge once, heard just now, whenever it was told.
-    Registry(net::Loop& loop, net::Budget& sockets, peers::Peers& peers, peers::Agreed& agreed,
-             const config::Store& setup, Purged purged);
-    ~Registry();
-    Registry(const Registry&) = delete;
-    Registry& operator=(const Registry&) = delete;
+    KvStoreService(net::Loop& loop, net::SocketBudget& sockets, cluster_transport::ClusterTransport& peers,
+                   consensus::ConsensusClient& agreed, const config::Store& setup, Purged purged);
+    ~KvStoreService();
+    KvStoreService(const KvStoreService&) = delete;
+    KvStoreService& operator=(const KvStoreService&) = delete;
 
     std::optional<std::string> get(const std::string& key) const;
     // The oldest copy that will do, as an age; 0: any. One that has not heard for a while what is agreed on
     // may have missed a purge.
-    base::Micros oldest() const;
+    base::Micros max_copy_age() const;
     // Calls under /ops/purge. None: the answer comes later.
-    std::optional<ops::Reply> take_call(const ops::Call& call, const front_ops::Later& later);
+    std::optional<admin::ApiReply> handle_call(const admin::ApiCall& call,
+                                               const admin_server::DeferredReply& later);
     int port() const { return desk_.port(); }
 
   private:
-    void word(const Json::Value& question, const store::Desk::Answer& answer);
+    void word(const Json::Value& question, const store::StoreApi::Answer& answer);
     void heard();
     void import();
     void import_next();
     void tell_news(const std::shared_ptr<std::vector<std::string>>& names);
-    void progress(const front_ops::Later& later);
+    void progress(const admin_server::DeferredReply& later);
 
     net::Loop& loop_;
-    peers::Peers& peers_;
-    peers::Agreed& agreed_;
+    cluster_transport::ClusterTransport& transport_;
+    consensus::ConsensusClient& consensus_;
     const config::Store setup_;
     Purged purged_;
     base::Micros started_;
     std::uint64_t told_ = 0;  // the newest purge told to the module
-    std::optional<store::OldStore> old_;
-    std::optional<base::Deadlines::Key> next_import_;
+    std::optional<store::LegacyStore> old_;
+    std::optional<base::TimerQueue::Key> next_import_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    store::Desk desk_;
+    store::StoreApi desk_;
 };
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/figures.cpp
+++ b/src/daemon/metrics.cpp
@@ -1,4 +1,4 @@
-#include "daemon/figures.h"
+#include "daemon/metrics.h"
 
 #include <array>
 #include <string>
@@ -9,40 +9,40 @@
 
 namespace {
 
-using Counters = std::vector<ops::Counter>;
+using Counters = std::vector<admin::Counter>;
 
-void add_door(Counters& counters, const std::string& prefix, const net::Door& door) {
-    for (std::size_t i = 0; i < net::kDoings; ++i) {
-        const auto doing = static_cast<net::Doing>(i);
-        counters.push_back({prefix + "connections_" + net::name_of(doing), door.doing(doing)});
+void add_door(Counters& counters, const std::string& prefix, const net::ConnectionManager& door) {
+    for (std::size_t i = 0; i < net::kConnectionStateCount; ++i) {
+        const auto doing = static_cast<net::ConnectionState>(i);
+        counters.push_back({prefix + "connections_" + net::name_of(doing), door.count(doing)});
     }
-    for (std::size_t i = 0; i < net::kEndReasons; ++i) {
-        const auto reason = static_cast<net::EndReason>(i);
-        counters.push_back({prefix + "ended_" + net::name_of(reason), door.ended(reason)});
+    for (std::size_t i = 0; i < net::kCloseReasonCount; ++i) {
+        const auto reason = static_cast<net::CloseReason>(i);
+        counters.push_back({prefix + "ended_" + net::name_of(reason), door.closed_count(reason)});
     }
 }
 
-void add_answers(Counters& counters, const core::Figures& figures) {
+void add_answers(Counters& counters, const core::Metrics& figures) {
     constexpr std::array<const char*, 5> kNames{"served", "same", "refused", "failed", "out_of_time"};
     for (std::size_t i = 0; i < kNames.size(); ++i)
-        counters.push_back({std::string("answers_") + kNames[i], figures.answered[i]});
+        counters.push_back({std::string("answers_") + kNames[i], figures.responses[i]});
     counters.push_back({"attempts", figures.attempts});
-    counters.push_back({"attempts_retried", figures.attempts - figures.sent});
+    counters.push_back({"attempts_retried", figures.attempts - figures.dispatched});
 }
 
 }  // namespace
 
-std::vector<ops::Counter> counters_of(const core::Core& core, const front_platform::Front& front,
-                                      const front_signed::Front* signed_front) {
+std::vector<admin::Counter> counters_of(const core::Core& core, const platform_server::PlatformServer& front,
+                                        const signed_url_server::SignedUrlServer* signed_front) {
     Counters counters;
-    add_answers(counters, core.figures());
+    add_answers(counters, core.metrics());
     counters.push_back({"log_lines_dropped", log::dropped_lines()});
-    const auto& drain = front.drain_figures();
-    counters.push_back({"drain_refused", drain.refused});
+    const auto& drain = front.drain_metrics();
+    counters.push_back({"drain_refused", drain.rejected});
     counters.push_back({"drain_held", drain.held});
     counters.push_back({"drain_hurried", drain.hurried});
-    add_door(counters, "", front.door());
-    if (signed_front) add_door(counters, "signed_", signed_front->door());
+    add_door(counters, "", front.connection_manager());
+    if (signed_front) add_door(counters, "signed_", signed_front->connection_manager());
     return counters;
 }
 
--- a/src/daemon/reload.cpp
+++ b/src/daemon/reload.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "front_signed/front.h"
+#include "signed_url_server/signed_url_server.h"
 
 namespace sumackeel::daemon {
 
@@ -31,10 +31,11 @@
 
 void Reload::read(const Files& files, const std::atomic<bool>& ending, Fresh& fresh) try {
     // Danger: read once. What is checked has to be what is taken up.
-    const std::string text = config::file_text(files.config);
-    fresh.config = config::read_config(text);
+    const std::string text = config::read_file(files.config);
+    fresh.config = config::parse_config(text);
     if (!files.setup.empty()) fresh.setup = config::load_operator(files.setup);
-    if (fresh.setup.signed_front) front_signed::Gate{*fresh.setup.signed_front};  // its keys must be usable
+    if (fresh.setup.signed_url_server)
+        signed_url_server::LinkVerifier{*fresh.setup.signed_url_server};  // its keys must be usable
     fresh.checks =
         fresh.setup.expectations && fresh.setup.expectations->gate != config::Expectations::Gate::start;
     if (!fresh.checks) return;
--- a/src/daemon/reload.h
+++ b/src/daemon/reload.h
@@ -12,7 +12,7 @@
 #include "config/operator.h"
 #include "daemon/daemon.h"
 #include "daemon/expectation_gate.h"
-#include "net/off_loop.h"
+#include "net/background_task.h"
 
 namespace sumackeel::daemon {
 
@@ -45,7 +45,7 @@
 
     const Files files_;
     const TakeUp take_up_;
-    net::OffLoop reading_;
+    net::BackgroundTask reading_;
     std::shared_ptr<std::atomic<bool>> ending_ = std::make_shared<std::atomic<bool>>(false);
     bool again_ = false;
     std::atomic<std::uint64_t> decided_ = 0;
--- a/src/feed/feed.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "feed/feed.h"
+#include "discovery/discovery_watch.h"
 
 #include <json/json.h>
 
@@ -6,7 +6,7 @@
 
 #include "base/log.h"
 
-namespace sumackeel::feed {
+namespace sumackeel::discovery {
 
 namespace {
 
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void EventReader::add(std::string_view bytes) {
+void EventStreamReader::append(std::string_view bytes) {
     for (const char c : bytes) {
         if (c == '\n' && std::exchange(ended_by_cr_, false)) continue;
         ended_by_cr_ = c == '\r';
@@ -30,7 +30,7 @@
     }
 }
 
-void EventReader::line(std::string_view text) {
+void EventStreamReader::line(std::string_view text) {
     constexpr std::string_view kMark = "\xEF\xBB\xBF";
     if (std::exchange(first_, false) && text.starts_with(kMark)) text.remove_prefix(kMark.size());
     if (text.empty()) {
@@ -52,17 +52,17 @@
 }
 
 // One connection to one change log.
-struct Feed::Line : net::Stream::Owner {
-    Feed& feed;
+struct DiscoveryWatch::Line : net::Stream::Handler {
+    DiscoveryWatch& feed;
     const std::size_t source;
     const std::int64_t behind;
     net::Stream* stream = nullptr;
     http_parser parser{};
     http_parser_settings calls{};
-    EventReader reader;
+    EventStreamReader reader;
     bool answered = false;  // with 200: what comes now is its stream of events
 
-    Line(Feed& owner, std::size_t place, std::int64_t from)
+    Line(DiscoveryWatch& owner, std::size_t place, std::int64_t from)
         : feed(owner),
           source(place),
           behind(from),
@@ -79,7 +79,7 @@
         calls.on_message_complete = [](http_parser*) { return -1; };
         calls.on_body = [](http_parser* p, const char* at, std::size_t length) {
             try {
-                static_cast<Line*>(p->data)->reader.add({at, length});
+                static_cast<Line*>(p->data)->reader.append({at, length});
             } catch (const std::exception& wrong) {
                 log::warn("change log: {}", wrong.what());
                 return -1;
@@ -91,31 +91,32 @@
         if (stream) stream->close();
     }
 
-    void opened(net::Stream& s) override {
-        feed.sources_.asked(source, feed.loop_.clock().now());
+    void on_open(net::Stream& s) override {
+        feed.sources_.on_connected(source, feed.loop_.clock().now());
         s.write("GET /changes HTTP/1.1\r\nHost: " + feed.addresses_[source] +
                 "\r\nAccept: text/event-stream\r\nLast-Event-ID: " + std::to_string(behind) + "\r\n\r\n");
     }
 
-    void received(net::Stream&, std::string_view bytes) override {
+    void on_data(net::Stream&, std::string_view bytes) override {
         const std::size_t read = http_parser_execute(&parser, &calls, bytes.data(), bytes.size());
         if (read != bytes.size() || HTTP_PARSER_ERRNO(&parser) != HPE_OK)
             throw std::runtime_error("the change log's answer can't be read");
-        const bool sure = answered && feed.sources_.heard(source, feed.loop_.clock().now());
+        const bool sure = answered && feed.sources_.on_data(source, feed.loop_.clock().now());
         if (sure && feed.on_sure_) feed.on_sure_();
     }
 
-    void gone(net::Stream&, net::Gone how) override {
+    void on_close(net::Stream&, net::DisconnectCause how) override {
         stream = nullptr;
-        feed.lost(source, how == net::Gone::refused ? "refused"
-                          : how == net::Gone::ended ? "closed"
-                                                    : "broken");
+        feed.lost(source, how == net::DisconnectCause::connect_failed   ? "refused"
+                          : how == net::DisconnectCause::closed_by_peer ? "closed"
+                                                                        : "broken");
     }
 };
 
-Feed::Feed(net::Loop& loop, net::Budget& budget, std::vector<std::string> addresses, const config::Site& site,
-           std::int64_t last_seq, membership::SourceOptions options, std::uint64_t seed, OnChange on_change,
-           OnSure on_sure)
+DiscoveryWatch::DiscoveryWatch(net::Loop& loop, net::SocketBudget& budget, std::vector<std::string> addresses,
+                               const config::Site& site, std::int64_t last_seq,
+                               endpoints::WatchOptions options, std::uint64_t seed, OnChange on_change,
+                               OnConfirmed on_sure)
     : loop_(loop),
       budget_(budget),
       site_(site),
@@ -125,18 +126,18 @@
       sources_(addresses.size(), options, seed),
       lines_(addresses.size()),
       addresses_(std::move(addresses)) {
-    loop_.each_turn([this] { dead_.clear(); });
+    loop_.on_each_iteration([this] { dead_.clear(); });
     drive();
 }
 
-Feed::~Feed() = default;
+DiscoveryWatch::~DiscoveryWatch() = default;
 
 // Carries out what the decisions say, and comes back when time alone may change them.
-void Feed::drive() {
+void DiscoveryWatch::drive() {
     if (std::exchange(driving_, true)) return;
     const base::Micros now = loop_.clock().now();
-    for (const auto& step : sources_.next(now, last_seq_)) {
-        if (step.kind == membership::Sources::Step::Kind::call) {
+    for (const auto& step : sources_.next_steps(now, last_seq_)) {
+        if (step.kind == endpoints::WatchSources::Step::Kind::call) {
             call(step.source, step.behind);
             continue;
         }
@@ -145,34 +146,34 @@
         if (lines_[step.source]) dead_.push_back(std::move(lines_[step.source]));
     }
     driving_ = false;
-    if (next_look_) loop_.deadlines().drop(*next_look_);
-    const base::Micros due = sources_.due().value_or(now + kWatch);
-    next_look_ = loop_.deadlines().set(due > now ? std::min(due, now + kWatch) : now + kWatch, [this] {
+    if (next_look_) loop_.timers().cancel(*next_look_);
+    const base::Micros due = sources_.next_deadline().value_or(now + kWatch);
+    next_look_ = loop_.timers().schedule(due > now ? std::min(due, now + kWatch) : now + kWatch, [this] {
         next_look_.reset();
         drive();
     });
 }
 
-void Feed::call(std::size_t source, std::int64_t behind) {
+void DiscoveryWatch::call(std::size_t source, std::int64_t behind) {
     if (lines_[source]) dead_.push_back(std::move(lines_[source]));
     sockaddr_in to{};
     auto line = std::make_unique<Line>(*this, source, behind);
-    if (net::read_address(addresses_[source], to))
+    if (net::parse_address(addresses_[source], to))
         line->stream = net::Stream::connect(loop_, budget_, to, *line);
     if (line->stream)
         lines_[source] = std::move(line);
     else
-        sources_.gone(source, loop_.clock().now(), "no connection can be made");
+        sources_.on_disconnected(source, loop_.clock().now(), "no connection can be made");
 }
 
-void Feed::lost(std::size_t source, const char* why) {
+void DiscoveryWatch::lost(std::size_t source, const char* why) {
     if (lines_[source]) dead_.push_back(std::move(lines_[source]));
-    sources_.gone(source, loop_.clock().now(), why);
+    sources_.on_disconnected(source, loop_.clock().now(), why);
     drive();
 }
 
 // The old places tell nothing more, and what the new ones have to tell counts as told soon: asked at once.
-void Feed::move_to(std::vector<std::string> addresses) {
+void DiscoveryWatch::set_addresses(std::vector<std::string> addresses) {
     if (addresses == addresses_) return;
     addresses_ = std::move(addresses);
     for (auto& line : lines_)
@@ -187,25 +188,25 @@
 
 // Danger: a broken event that ended the connection would come again with each new one, and nothing behind it
 // would ever be heard.
-void Feed::event(std::size_t source, const std::string& data) {
-    config::Change change;
+void DiscoveryWatch::event(std::size_t source, const std::string& data) {
+    config::WatchEvent change;
     try {
-        change = config::read_change(config::parse(data, "change log"), site_);
+        change = config::parse_watch_event(config::parse(data, "change log"), site_);
     } catch (const config::ConfigError& wrong) {
         return log::error("an event passed over: {}", wrong.what());
     }
-    using Took = membership::Sources::Took;
-    const Took took = sources_.event(source, change.seq, last_seq_, loop_.clock().now());
+    using Took = endpoints::WatchSources::EventResult;
+    const Took took = sources_.on_event(source, change.sequence, last_seq_, loop_.clock().now());
     if (took == Took::went_back)
-        log::warn("change log {} went back to {} from {}, not believed", addresses_[source], change.seq,
+        log::warn("change log {} went back to {} from {}, not believed", addresses_[source], change.sequence,
                   sources_.health()[source].on_this);
-    if (took == Took::take) heard(change, static_cast<int>(source));
+    if (took == Took::apply) apply(change, static_cast<int>(source));
 }
 
-void Feed::heard(const config::Change& change, int log) {
-    if (change.seq <= last_seq_) return;
-    last_seq_ = change.seq;
+void DiscoveryWatch::apply(const config::WatchEvent& change, int log) {
+    if (change.sequence <= last_seq_) return;
+    last_seq_ = change.sequence;
     on_change_(change, log);
 }
 
-}  // namespace sumackeel::feed
+}  // namespace sumackeel::discovery
--- a/src/feed/feed.h
+++ b/src/discovery/discovery_watch.h
@@ -10,17 +10,18 @@
 #include <vector>
 
 #include "config/config.h"
-#include "membership/sources.h"
+#include "endpoints/watch_sources.h"
 #include "net/stream.h"
 
-namespace sumackeel::feed {
+namespace sumackeel::discovery {
 
 // Takes the bytes of an event stream and gives each event's data, in all forms of the standard: lines end
 // with CR LF, LF or CR, a byte order mark may come first.
-class EventReader {
+class EventStreamReader {
   public:
-    explicit EventReader(std::function<void(const std::string&)> on_data) : on_data_(std::move(on_data)) {}
-    void add(std::string_view bytes);  // throws std::runtime_error on a line without end
+    explicit EventStreamReader(std::function<void(const std::string&)> on_data)
+        : on_data_(std::move(on_data)) {}
+    void append(std::string_view bytes);  // throws std::runtime_error on a line without end
 
   private:
     void line(std::string_view text);
@@ -32,28 +33,30 @@
     bool first_ = true;         // the first line may begin with the mark
 };
 
-// Follows one change log, or several that tell the same events, as membership::Sources decides.
-class Feed {
+// Follows one change log, or several that tell the same events, as endpoints::Sources decides.
+class DiscoveryWatch {
   public:
     // `log`: the place in the list of addresses; -1: told through heard().
-    using OnChange = std::function<void(const config::Change&, int log)>;
+    using OnChange = std::function<void(const config::WatchEvent&, int log)>;
     // A source that is sure to tell all there is said that it lives. Called with every few bytes.
-    using OnSure = std::function<void()>;
+    using OnConfirmed = std::function<void()>;
 
-    Feed(net::Loop& loop, net::Budget& budget, std::vector<std::string> addresses, const config::Site& site,
-         std::int64_t last_seq, membership::SourceOptions options, std::uint64_t seed, OnChange on_change,
-         OnSure on_sure = {});
-    ~Feed();
-    Feed(const Feed&) = delete;
-    Feed& operator=(const Feed&) = delete;
+    DiscoveryWatch(net::Loop& loop, net::SocketBudget& budget, std::vector<std::string> addresses,
+                   const config::Site& site, std::int64_t last_seq, endpoints::WatchOptions options,
+                   std::uint64_t seed, OnChange on_change, OnConfirmed on_sure = {});
+    ~DiscoveryWatch();
+    DiscoveryWatch(const DiscoveryWatch&) = delete;
+    DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
     // From now on the change logs are at these addresses; the numbers carry on.
-    void move_to(std::vector<std::string> addresses);
-    void heard(const config::Change& change) { heard(change, -1); }  // passed on unless it was heard before
+    void set_addresses(std::vector<std::string> addresses);
+    void apply(const config::WatchEvent& change) {
+        apply(change, -1);
+    }  // passed on unless it was heard before
     // Events up to here are known from elsewhere.
-    void known_to(std::int64_t seq) { last_seq_ = std::max(last_seq_, seq); }
+    void skip_through(std::int64_t seq) { last_seq_ = std::max(last_seq_, seq); }
     std::int64_t last_seq() const { return last_seq_; }
-    const std::vector<membership::Sources::Health>& health() const { return sources_.health(); }
+    const std::vector<endpoints::WatchSources::Health>& health() const { return sources_.health(); }
 
   private:
     struct Line;
@@ -61,20 +64,20 @@
     void call(std::size_t source, std::int64_t behind);
     void lost(std::size_t source, const char* why);
     void event(std::size_t source, const std::string& data);
-    void heard(const config::Change& change, int log);
+    void apply(const config::WatchEvent& change, int log);
 
     net::Loop& loop_;
-    net::Budget& budget_;
+    net::SocketBudget& budget_;
     const config::Site& site_;
     std::int64_t last_seq_;
     OnChange on_change_;
-    OnSure on_sure_;
-    membership::Sources sources_;
+    OnConfirmed on_sure_;
+    endpoints::WatchSources sources_;
     std::vector<std::unique_ptr<Line>> lines_;  // by place; a new one with each call
     std::vector<std::unique_ptr<Line>> dead_;   // until the turn's end: they may be what is running
     std::vector<std::string> addresses_;
-    std::optional<base::Deadlines::Key> next_look_;
+    std::optional<base::TimerQueue::Key> next_look_;
     bool driving_ = false;
 };
 
-}  // namespace sumackeel::feed
+}  // namespace sumackeel::discovery
--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet_emulator.cpp
@@ -1,4 +1,4 @@
-#include "emulator/fleet.h"
+#include "emulator/fleet_emulator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 
 namespace sumackeel::emulator {
 
-using namespace nettlethread;
+using namespace sumackeel::routing;
 
 namespace {
 
@@ -22,25 +22,26 @@
 
 }  // namespace
 
-Settings settings(const Shape& shape) {
+Settings settings(const FleetOptions& shape) {
     Settings s;
     ClassSettings read;
-    read.aim = 400 * kMs, read.aim_stretch = 2, read.give_up = 3 * kSecond;
+    read.latency_objective = 400 * kMs, read.latency_objective_stretch = 2, read.deadline = 3 * kSecond;
     s.classes = {read};
-    s.instances = shape.routers;
+    s.instance_count = shape.routers;
     for (int zone = 0; zone < shape.zones; ++zone)
-        s.zone_instances.push_back(shape.routers / shape.zones + (zone < shape.routers % shape.zones));
-    s.zone_hub.assign(shape.zones, 0);
+        s.instances_by_zone.push_back(shape.routers / shape.zones + (zone < shape.routers % shape.zones));
+    s.region_by_zone.assign(shape.zones, 0);
     s.parent_kind = kParent, s.origin_kind = kOrigin;
-    s.pace_kb_per_s = 4'000;
-    s.joins = true;
-    s.notes = Notes::all;
-    s.weights = Weights::nominal;
-    s.obey_after = 300 * kMs, s.cleared_within = 6 * kSecond, s.drain_grace = 2 * kSecond;
-    s.cold_share = 0.16, s.warm_after = 17 * kSecond, s.tip_multiple = 4, s.overload_for = 1'500 * kMs;
-    s.parent_cold_from = 0.06, s.parent_ramp = 21 * kSecond, s.parent_breaks_at = 2;
-    s.may_cancel = s.second_copies = true;
-    s.most_tries = 8;
+    s.transfer_rate_kb_per_s = 4'000;
+    s.coalescing_allowed = true;
+    s.cache_status_detail = CacheStatusDetail::all;
+    s.weight_quality = WeightQuality::nominal;
+    s.notification_grace = 300 * kMs, s.purge_completes_within = 6 * kSecond, s.drain_grace = 2 * kSecond;
+    s.cold_capacity_fraction = 0.16, s.warm_up_duration = 17 * kSecond, s.cold_overload_multiple = 4,
+    s.overload_window = 1'500 * kMs;
+    s.parent_cold_fraction = 0.06, s.parent_slow_start = 21 * kSecond, s.parent_overload_multiple = 2;
+    s.cancellation_allowed = s.hedging_allowed = true;
+    s.max_attempts = 8;
     return s;
 }
 
@@ -67,14 +68,15 @@
     return count;
 }
 
-Fleet::Fleet(const Shape& shape) : shape_(shape), set_(settings(shape)), chance_(shape.seed) {
+FleetEmulator::FleetEmulator(const FleetOptions& shape)
+    : shape_(shape), set_(settings(shape)), chance_(shape.seed) {
     if (shape.routers < 1 || shape.zones < 1 || shape.objects < 1 || shape.asks_per_s <= 0 ||
         shape.origin_fills_per_s <= 0)
         throw std::invalid_argument("a fleet needs routers, zones, objects, asks and an origin that fills");
     double sum = 0;
     for (int i = 0; i < shape.objects; ++i) popularity_.push_back(sum += 1.0 / (i + 10));
     const auto add = [this](const std::string& name, int zone, Kind kind, double weight) {
-        entries_.push_back({.cache = name, .weight = weight, .zone = zone, .kind = kind});
+        entries_.push_back({.name = name, .weight = weight, .zone = zone, .kind = kind});
     };
     for (int zone = 0; zone < shape.zones; ++zone)
         for (int i = 0; i < shape.caches_a_zone; ++i) add(box(zone, i), zone, kCache, kCacheWeight);
@@ -82,36 +84,36 @@
     add("origin", 0, kOrigin, 1);
     for (std::size_t i = 0; i < static_cast<std::size_t>(shape.routers); ++i) routers_.push_back(router(i));
     running_.assign(routers_.size(), true), lives_.assign(routers_.size(), 0);
-    tell_all(ListNews{1, ListKind::full, entries_});
+    tell_all(EndpointUpdate{1, EndpointUpdateKind::full, entries_});
     for (std::size_t i = 0; i < routers_.size(); ++i) next_ask(i);
 }
 
-Router Fleet::router(std::size_t number) {
+Router FleetEmulator::router(std::size_t number) {
     Settings own = set_;
-    own.me = static_cast<int>(number), own.my_zone = own.me % shape_.zones;
+    own.instance_index = static_cast<int>(number), own.own_zone = own.instance_index % shape_.zones;
     return Router(own, chance_());
 }
 
-void Fleet::power_off() {
+void FleetEmulator::power_off() {
     running_.assign(running_.size(), false);
     open_.clear(), out_.clear(), held_.clear(), filling_.clear();
     origin_free_ = now_;
 }
 
-void Fleet::power_back() {
-    for (CacheEntry& entry : entries_)
-        if (entry.kind != kOrigin) entry.since = now_;
+void FleetEmulator::power_back() {
+    for (Endpoint& entry : entries_)
+        if (entry.kind != kOrigin) entry.started_at = now_;
 }
 
-void Fleet::start(std::size_t number) {
+void FleetEmulator::start(std::size_t number) {
     routers_[number] = router(number);
     running_[number] = true, ++lives_[number];
-    tell(number, ListNews{3, ListKind::full, entries_});
+    tell(number, EndpointUpdate{3, EndpointUpdateKind::full, entries_});
 }
 
 // Who takes the request of a client of this router's: itself, or one by chance that is ready; none: its own
 // number, and it is lost there.
-std::size_t Fleet::taker(std::size_t number) {
+std::size_t FleetEmulator::taker(std::size_t number) {
     const auto takes = [this](std::size_t i) { return running_[i] && (!ready || ready(i)); };
     if (takes(number)) return number;
     const std::size_t from = chance_() % routers_.size();
@@ -120,7 +122,7 @@
     return number;
 }
 
-void Fleet::run_for(Micros span) {
+void FleetEmulator::run_for(Micros span) {
     const Micros end = now_ + span;
     while (!due_.empty() && due_.top().at <= end) {
         const Due due = due_.top();
@@ -131,7 +133,7 @@
     now_ = end;
 }
 
-void Fleet::purge_all() {
+void FleetEmulator::purge_all() {
     held_.clear();
     for (std::size_t i = 0; i < routers_.size(); ++i)
         at(now_ + kToldFirst + static_cast<Micros>(i) * kToldApart, [this, i, then = now_] {
@@ -139,50 +141,50 @@
         });
 }
 
-void Fleet::restart(const std::vector<std::string>& boxes) {
-    ListNews news{2, ListKind::changes, {}};
-    for (CacheEntry& entry : entries_)
-        if (std::ranges::find(boxes, entry.cache) != boxes.end()) {
-            entry.since = now_;
-            held_.erase(entry.cache);
-            news.entries.push_back(entry);
+void FleetEmulator::restart(const std::vector<std::string>& boxes) {
+    EndpointUpdate news{2, EndpointUpdateKind::incremental, {}};
+    for (Endpoint& entry : entries_)
+        if (std::ranges::find(boxes, entry.name) != boxes.end()) {
+            entry.started_at = now_;
+            held_.erase(entry.name);
+            news.endpoints.push_back(entry);
         }
     tell_all(news);
 }
 
-void Fleet::come_back(const std::vector<std::string>& boxes) {
+void FleetEmulator::come_back(const std::vector<std::string>& boxes) {
     for (const std::string& box : boxes) lost_.erase(box), held_.erase(box), filling_.erase(box);
 }
 
-double Fleet::breaks_at(const std::string& box, Micros ago) const {
-    const CacheEntry& found = entry(box);
+double FleetEmulator::breaks_at(const std::string& box, Micros ago) const {
+    const Endpoint& found = entry(box);
     const bool parent = found.kind == kParent;
-    const double from = parent ? set_.parent_cold_from : set_.cold_share;
-    const double grown =
-        static_cast<double>(ago) / static_cast<double>(parent ? set_.parent_ramp : set_.warm_after);
-    return (parent ? set_.parent_breaks_at : set_.tip_multiple) * found.weight *
-           (from + (1 - from) * std::min(1.0, grown)) * static_cast<double>(set_.overload_for);
+    const double from = parent ? set_.parent_cold_fraction : set_.cold_capacity_fraction;
+    const double grown = static_cast<double>(ago) /
+                         static_cast<double>(parent ? set_.parent_slow_start : set_.warm_up_duration);
+    return (parent ? set_.parent_overload_multiple : set_.cold_overload_multiple) * found.weight *
+           (from + (1 - from) * std::min(1.0, grown)) * static_cast<double>(set_.overload_window);
 }
 
-const CacheEntry& Fleet::entry(const std::string& name) const {
-    const auto found = std::ranges::find(entries_, name, &CacheEntry::cache);
+const Endpoint& FleetEmulator::entry(const std::string& name) const {
+    const auto found = std::ranges::find(entries_, name, &Endpoint::name);
     if (found == entries_.end()) throw std::invalid_argument("no box of the name " + name);
     return *found;
 }
 
-Micros Fleet::work() const {
-    return static_cast<Micros>(shape_.kb / set_.pace_kb_per_s * kSecond);
+Micros FleetEmulator::work() const {
+    return static_cast<Micros>(shape_.kb / set_.transfer_rate_kb_per_s * kSecond);
 }
 
-void Fleet::next_ask(std::size_t router) {
+void FleetEmulator::next_ask(std::size_t router) {
     const double rate = shape_.asks_per_s / shape_.routers;
     const double gap = -std::log(1 - std::uniform_real_distribution<>(0, 1)(chance_)) / rate;
     at(now_ + static_cast<Micros>(gap * kSecond), [this, router] {
         const double where = std::uniform_real_distribution<>(0, popularity_.back())(chance_);
-        Arrival ask;
+        RequestReceived ask;
         ask.id = std::to_string(router) + "-" + std::to_string(order_);
         ask.object = "o" + std::to_string(std::ranges::lower_bound(popularity_, where) - popularity_.begin());
-        ask.grace = set_.classes[0].give_up;
+        ask.time_left = set_.classes[0].deadline;
         ask.size_kb = shape_.kb;
         ++totals.asked;
         const std::size_t by = taker(router);
@@ -198,11 +200,11 @@
     });
 }
 
-void Fleet::tell_all(const Event& event) {
+void FleetEmulator::tell_all(const Event& event) {
     for (std::size_t i = 0; i < routers_.size(); ++i) tell(i, event);
 }
 
-void Fleet::tell(std::size_t router, const Event& event) {
+void FleetEmulator::tell(std::size_t router, const Event& event) {
     if (!running_[router]) return;
     std::vector<Action> actions;
     routers_[router].handle(now_, event, actions);
@@ -210,38 +212,38 @@
     for (const Action& action : actions) {
         if (const auto* timer = std::get_if<SetTimer>(&action))
             at(std::max(timer->at, now_ + 1), [this, router, token = timer->token, life = lives_[router]] {
-                if (life == lives_[router]) tell(router, TimerDue{token});
+                if (life == lives_[router]) tell(router, TimerExpired{token});
             });
-        if (const auto* serve = std::get_if<Serve>(&action)) send(router, *serve);
-        if (const auto* refuse = std::get_if<Refuse>(&action)) over(refuse->id, totals.refused);
+        if (const auto* serve = std::get_if<Forward>(&action)) send(router, *serve);
+        if (const auto* refuse = std::get_if<Reject>(&action)) over(refuse->id, totals.refused);
         if (const auto* fail = std::get_if<Fail>(&action)) over(fail->id, totals.failed);
     }
 }
 
 // The first end of an attempt is its end: its time-out, or what the box makes of it.
-void Fleet::end(std::size_t router, Outcome outcome, Micros sent) {
+void FleetEmulator::end(std::size_t router, AttemptFinished outcome, Micros sent) {
     if (!out_.erase({outcome.id, outcome.attempt})) return;
-    const bool served = outcome.verdict == Verdict::served;
+    const bool served = outcome.status == AttemptStatus::served;
     const auto found = open_.find(outcome.id);
-    outcome.took = now_ - sent;
-    outcome.ended = served || found == open_.end();
+    outcome.elapsed = now_ - sent;
+    outcome.request_finished = served || found == open_.end();
     if (served && found != open_.end()) {
-        if (answered) answered(router, found->second.object, outcome.note);
-        totals.in_time += now_ - found->second.asked <= set_.classes[0].aim + work() * 2;
+        if (answered) answered(router, found->second.object, outcome.cache_status);
+        totals.in_time += now_ - found->second.asked <= set_.classes[0].latency_objective + work() * 2;
         over(outcome.id, totals.served);
     }
     tell(router, outcome);
 }
 
-void Fleet::send(std::size_t router, const Serve& serve) {
+void FleetEmulator::send(std::size_t router, const Forward& serve) {
     Open& open = open_.at(serve.id);
     const std::string object = open.object;
     const int attempt = open.attempts++;
     out_.insert({serve.id, attempt});
-    const auto ends = [&](Micros when, Verdict verdict, Note note, Micros first_byte = 0) {
-        Outcome outcome;
-        outcome.id = serve.id, outcome.attempt = attempt, outcome.cache = serve.cache;
-        outcome.verdict = verdict, outcome.note = note, outcome.first_byte = first_byte;
+    const auto ends = [&](Micros when, AttemptStatus verdict, CacheStatus note, Micros first_byte = 0) {
+        AttemptFinished outcome;
+        outcome.id = serve.id, outcome.attempt = attempt, outcome.endpoint = serve.endpoint;
+        outcome.status = verdict, outcome.cache_status = note, outcome.time_to_first_byte = first_byte;
         at(when, [this, router, outcome, sent = now_] { end(router, outcome, sent); });
     };
     const auto arrives = [&](const std::string& box) {
@@ -250,30 +252,35 @@
     const auto keeps = [&](const std::string& box, Micros from) {
         at(from, [this, box, object] { held_[box].insert(object); });
     };
-    totals.named[serve.cache].push_back(now_);
-    if (serve.timeout > 0) ends(now_ + serve.timeout, Verdict::timed_out, Note::none);
-    if (lost_.contains(serve.cache)) return;
-    arrives(serve.cache);
-    if (held_[serve.cache].contains(object)) return ends(now_ + work(), Verdict::served, Note::hit);
-    Micros& running = filling_[serve.cache][object];
-    if (serve.join && running > now_)
+    totals.named[serve.endpoint].push_back(now_);
+    if (serve.timeout > 0) ends(now_ + serve.timeout, AttemptStatus::timed_out, CacheStatus::unknown);
+    if (lost_.contains(serve.endpoint)) return;
+    arrives(serve.endpoint);
+    if (held_[serve.endpoint].contains(object))
+        return ends(now_ + work(), AttemptStatus::served, CacheStatus::hit);
+    Micros& running = filling_[serve.endpoint][object];
+    if (serve.coalesce && running > now_)
         return at(running + 1, [this, router, serve, attempt, object, sent = now_] {
-            const bool came = held_[serve.cache].contains(object);
-            Outcome outcome;
-            outcome.id = serve.id, outcome.attempt = attempt, outcome.cache = serve.cache;
-            outcome.verdict = came ? Verdict::served : Verdict::error;
-            outcome.note = came ? Note::joined : Note::source_lost;
+            const bool came = held_[serve.endpoint].contains(object);
+            AttemptFinished outcome;
+            outcome.id = serve.id, outcome.attempt = attempt, outcome.endpoint = serve.endpoint;
+            outcome.status = came ? AttemptStatus::served : AttemptStatus::error;
+            outcome.cache_status = came ? CacheStatus::coalesced : CacheStatus::source_unreachable;
             end(router, outcome, sent);
         });
-    if (serve.source == serve.cache) return ends(now_ + kMs, Verdict::missing, Note::none);
+    if (serve.source == serve.endpoint)
+        return ends(now_ + kMs, AttemptStatus::not_found, CacheStatus::unknown);
     totals.named[serve.source].push_back(now_);
-    if (lost_.contains(serve.source)) return ends(now_ + kFillTimeout, Verdict::error, Note::source_lost);
+    if (lost_.contains(serve.source))
+        return ends(now_ + kFillTimeout, AttemptStatus::error, CacheStatus::source_unreachable);
     arrives(serve.source);
     const bool held = held_[serve.source].contains(object);
-    if (!held && serve.source_holds) return ends(now_ + kFillWay, Verdict::missing, Note::source_lacks);
+    if (!held && serve.source_cached_only)
+        return ends(now_ + kFillWay, AttemptStatus::not_found, CacheStatus::source_missing);
     Micros first_byte = kFillWay;
     if (!held) {
-        if (now_ < origin_up_) return ends(now_ + kFillTimeout, Verdict::error, Note::source_lost);
+        if (now_ < origin_up_)
+            return ends(now_ + kFillTimeout, AttemptStatus::error, CacheStatus::source_unreachable);
         totals.origin_fills.push_back(now_);
         // Danger to be seen: who waits no longer has had it asked for all the same.
         const auto each = static_cast<Micros>(kSecond / shape_.origin_fills_per_s);
@@ -292,22 +299,23 @@
     if (!held && shape_.origin_bears > 0) {
         at(comes, [this, router, serve, attempt, object, asked = now_, comes, first_byte] {
             const bool fell = origin_fell_ >= asked && origin_fell_ <= comes;
-            Outcome outcome;
-            outcome.id = serve.id, outcome.attempt = attempt, outcome.cache = serve.cache;
-            outcome.verdict = fell ? Verdict::error : Verdict::served;
-            outcome.note = fell ? Note::source_lost : Note::filled_by_origin;
-            outcome.first_byte = fell ? 0 : first_byte;
+            AttemptFinished outcome;
+            outcome.id = serve.id, outcome.attempt = attempt, outcome.endpoint = serve.endpoint;
+            outcome.status = fell ? AttemptStatus::error : AttemptStatus::served;
+            outcome.cache_status = fell ? CacheStatus::source_unreachable : CacheStatus::filled_by_origin;
+            outcome.time_to_first_byte = fell ? 0 : first_byte;
             at(fell ? std::max(now_ + 1, asked + kFillTimeout) : now_ + work(),
                [this, router, serve, object, outcome, fell, asked] {
-                   if (!fell) held_[serve.cache].insert(object), held_[serve.source].insert(object);
+                   if (!fell) held_[serve.endpoint].insert(object), held_[serve.source].insert(object);
                    end(router, outcome, asked);
                });
         });
         return;
     }
-    keeps(serve.cache, running);
+    keeps(serve.endpoint, running);
     if (!held) keeps(serve.source, running);
-    ends(running, Verdict::served, held ? Note::filled : Note::filled_by_origin, first_byte);
+    ends(running, AttemptStatus::served, held ? CacheStatus::filled : CacheStatus::filled_by_origin,
+         first_byte);
 }
 
 }  // namespace sumackeel::emulator
--- a/src/emulator/fleet.h
+++ b/src/emulator/fleet_emulator.h
@@ -15,15 +15,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "nettlethread/router.h"
+#include "routing/router.h"
 
 namespace sumackeel::emulator {
 
-using nettlethread::Micros;
+using routing::Micros;
 
 constexpr Micros kMs = 1'000, kSecond = 1'000'000;
 
-struct Shape {
+struct FleetOptions {
     int routers = 100, zones = 15, caches_a_zone = 4, parents = 4;
     double asks_per_s = 1'000;  // of all clients
     int objects = 4'000;        // wanted with a weight that falls as 1/rank
@@ -34,7 +34,7 @@
 };
 
 // What the platform would tell such a fleet.
-nettlethread::Settings settings(const Shape& shape);
+routing::Settings settings(const FleetOptions& shape);
 
 // What became of the requests, and what reached the origin and each box.
 struct Totals {
@@ -53,9 +53,9 @@
     int named_between(const std::vector<std::string>& boxes, Micros from, Micros to) const;
 };
 
-class Fleet {
+class FleetEmulator {
   public:
-    explicit Fleet(const Shape& shape);
+    explicit FleetEmulator(const FleetOptions& shape);
 
     static std::string box(int zone, int i) { return "c" + std::to_string(zone) + "-" + std::to_string(i); }
 
@@ -81,16 +81,15 @@
     // Asked of each request before the router is: false refuses it at once.
     std::function<bool(std::size_t router, const std::string& object)> gate;
     // Told of each request served, and how.
-    std::function<void(std::size_t router, const std::string& object, nettlethread::Note)> answered;
+    std::function<void(std::size_t router, const std::string& object, routing::CacheStatus)> answered;
     // Told of each event that a router took, with the actions that came of it.
-    std::function<void(std::size_t router, Micros now, const std::vector<nettlethread::Action>& actions)>
-        observe;
+    std::function<void(std::size_t router, Micros now, const std::vector<routing::Action>& actions)> observe;
     Micros now() const { return now_; }
     void origin_does(double fills_per_s) { shape_.origin_fills_per_s = fills_per_s; }
     // The work that pushes over a box that started `ago` before, sent within the window of the rule.
     double breaks_at(const std::string& box, Micros ago) const;
 
-    const nettlethread::Settings& set() const { return set_; }
+    const routing::Settings& set() const { return set_; }
     Totals totals;  // may be cleared between two stretches
 
   private:
@@ -110,22 +109,22 @@
 
     void at(Micros when, std::function<void()> what) { due_.push({when, ++order_, std::move(what)}); }
     void next_ask(std::size_t router);
-    void tell(std::size_t router, const nettlethread::Event& event);
-    void tell_all(const nettlethread::Event& event);
-    void send(std::size_t router, const nettlethread::Serve& serve);
-    void end(std::size_t router, nettlethread::Outcome outcome, Micros sent);
+    void tell(std::size_t router, const routing::Event& event);
+    void tell_all(const routing::Event& event);
+    void send(std::size_t router, const routing::Forward& serve);
+    void end(std::size_t router, routing::AttemptFinished outcome, Micros sent);
     void over(const std::string& id, int& count) { ++(open_.erase(id) ? count : totals.twice); }
-    nettlethread::Router router(std::size_t number);
+    routing::Router router(std::size_t number);
     std::size_t taker(std::size_t router);
-    const nettlethread::CacheEntry& entry(const std::string& name) const;
+    const routing::Endpoint& entry(const std::string& name) const;
     Micros work() const;
 
-    Shape shape_;
-    nettlethread::Settings set_;
+    FleetOptions shape_;
+    routing::Settings set_;
     std::mt19937_64 chance_;
     std::vector<double> popularity_;  // summed up
-    std::vector<nettlethread::CacheEntry> entries_;
-    std::vector<nettlethread::Router> routers_;
+    std::vector<routing::Endpoint> entries_;
+    std::vector<routing::Router> routers_;
     std::vector<bool> running_;
     std::vector<int> lives_;  // of each router: what an earlier one had set is passed over
     std::priority_queue<Due> due_;
--- a/src/saved_list/keeper.cpp
+++ b/src/endpoint_snapshot/snapshot_writer.cpp
@@ -1,4 +1,4 @@
-#include "saved_list/keeper.h"
+#include "endpoint_snapshot/snapshot_writer.h"
 
 #include <algorithm>
 #include <condition_variable>
@@ -8,7 +8,7 @@
 
 #include "base/log.h"
 
-namespace sumackeel::saved_list {
+namespace sumackeel::endpoint_snapshot {
 
 namespace {
 
@@ -17,19 +17,19 @@
 }  // namespace
 
 // All that the pool's thread touches. It outlives its keeper where the disk hangs.
-struct Keeper::Job {
+struct SnapshotWriter::Job {
     uv_work_t work{};
-    Keeper* keeper;  // null: it is gone
-    Folder folder;
-    membership::Names names;
-    membership::Snapshot list;
+    SnapshotWriter* keeper;  // null: it is gone
+    SnapshotDirectory folder;
+    endpoints::NameTables names;
+    endpoints::Snapshot list;
     std::uint64_t generation, keep;
     std::string fault;
     std::size_t bytes = 0;
 
     // On a thread of the pool, called from C: nothing may be thrown past here.
     void run() noexcept try {
-        const std::string packed = membership::encode(list, names);
+        const std::string packed = endpoints::encode(list, names);
         bytes = packed.size();
         fault = folder.write(packed, generation, keep);
     } catch (const std::exception& wrong) {
@@ -37,19 +37,20 @@
     }
 };
 
-Keeper::Keeper(net::Loop& loop, std::string folder, membership::Names names, Pace pace, Take take)
+SnapshotWriter::SnapshotWriter(net::Loop& loop, std::string folder, endpoints::NameTables names,
+                               WriteSchedule pace, TakeSnapshot take)
     : loop_(loop),
       folder_(std::move(folder)),
       names_(std::move(names)),
       pace_(pace),
       take_(std::move(take)) {}
 
-Keeper::~Keeper() {
-    if (next_start_) loop_.deadlines().drop(*next_start_);
+SnapshotWriter::~SnapshotWriter() {
+    if (next_start_) loop_.timers().cancel(*next_start_);
     if (job_) job_->keeper = nullptr;
 }
 
-void Keeper::begin_behind(std::uint64_t generation, std::uint64_t good) {
+void SnapshotWriter::start_after(std::uint64_t generation, std::uint64_t good) {
     next_ = generation + 1;
     good_ = good;
     figures_.generation = generation;
@@ -57,24 +58,24 @@
     look();
 }
 
-void Keeper::changed() {
+void SnapshotWriter::on_changed() {
     changed_ = true;
     look();
 }
 
-void Keeper::confirmed() {
+void SnapshotWriter::on_confirmed() {
     if (std::exchange(confirmed_, true)) return;
     look();
 }
 
-void Keeper::flush() {
+void SnapshotWriter::flush() {
     if (!ready_ || job_ || (!changed_ && !confirmed_) || failures_ > 0) return;
-    if (next_start_) loop_.deadlines().drop(*next_start_);
+    if (next_start_) loop_.timers().cancel(*next_start_);
     next_start_.reset();
     start(loop_.clock().now());
 }
 
-void Keeper::look() {
+void SnapshotWriter::look() {
     if (!ready_ || job_ || (!changed_ && !confirmed_)) return;
     const Micros now = loop_.clock().now();
     Micros wait = pace_.save_every;
@@ -86,14 +87,14 @@
     // into one write.
     const Micros at = std::max(started_ + wait, now + kGather);
     if (next_start_ && next_start_->first <= at) return;  // put off by each change it would never come
-    if (next_start_) loop_.deadlines().drop(*next_start_);
-    next_start_ = loop_.deadlines().set(at, [this] {
+    if (next_start_) loop_.timers().cancel(*next_start_);
+    next_start_ = loop_.timers().schedule(at, [this] {
         next_start_.reset();
         start(loop_.clock().now());
     });
 }
 
-void Keeper::start(Micros now) {
+void SnapshotWriter::start(Micros now) {
     changed_ = confirmed_ = false;
     started_ = now;
     auto job = std::make_unique<Job>(Job{.work = {},
@@ -123,7 +124,7 @@
     job_ = job.release();
 }
 
-void Keeper::done(const std::string& fault, std::uint64_t generation, std::size_t bytes) {
+void SnapshotWriter::done(const std::string& fault, std::uint64_t generation, std::size_t bytes) {
     if (fault.empty()) {
         if (failures_ > 0) log::info("saved list: written again after {} failures", failures_);
         failures_ = 0;
@@ -141,22 +142,24 @@
     look();
 }
 
-struct Loading::Shared {
+struct SnapshotLoader::Shared {
     std::mutex mutex;
     std::condition_variable known;
-    std::optional<Found> found;
+    std::optional<LoadedSnapshot> found;
 };
 
-Loading::Loading(std::string folder, membership::Names names, std::string site, base::UnixTime wall_now)
+SnapshotLoader::SnapshotLoader(std::string folder, endpoints::NameTables names, std::string site,
+                               base::UnixTime wall_now)
     : shared_(std::make_shared<Shared>()) {
-    std::thread([shared = shared_, folder = Folder(std::move(folder)), names = std::move(names),
+    std::thread([shared = shared_, folder = SnapshotDirectory(std::move(folder)), names = std::move(names),
                  site = std::move(site), wall_now] {
-        Found found;
+        LoadedSnapshot found;
         try {
             found = folder.read(names, site, wall_now);
-            found.lock = std::make_shared<base::FolderLock>(folder.path());
+            found.lock = std::make_shared<base::DirectoryLock>(folder.path());
         } catch (const std::exception& wrong) {
-            found.passed.push_back({folder.path(), {membership::Fault::Kind::unreadable, wrong.what()}});
+            found.skipped.push_back(
+                {folder.path(), {endpoints::SnapshotError::Code::unreadable, wrong.what()}});
         }
         const std::lock_guard held(shared->mutex);
         shared->found = std::move(found);
@@ -164,10 +167,10 @@
     }).detach();
 }
 
-std::optional<Found> Loading::take(std::chrono::milliseconds wait) {
+std::optional<LoadedSnapshot> SnapshotLoader::take(std::chrono::milliseconds wait) {
     std::unique_lock held(shared_->mutex);
     shared_->known.wait_for(held, wait, [this] { return shared_->found.has_value(); });
     return std::exchange(shared_->found, std::nullopt);
 }
 
-}  // namespace sumackeel::saved_list
+}  // namespace sumackeel::endpoint_snapshot
--- a/src/membership/saved.cpp
+++ b/src/endpoints/snapshot_codec.cpp
@@ -1,4 +1,4 @@
-#include "membership/saved.h"
+#include "endpoints/snapshot_codec.h"
 
 #include <fmt/format.h>
 #include <zstd.h>
@@ -11,10 +11,10 @@
 #include <cstring>
 #include <msgpack.hpp>
 
-namespace sumackeel::membership {
+namespace sumackeel::endpoints {
 
-using nettlethread::CacheEntry;
-using nettlethread::CacheState;
+using routing::Endpoint;
+using routing::EndpointState;
 
 namespace {
 
@@ -44,8 +44,8 @@
 // Where a zone or kind stands among the names. Fixed ones are the settings'; others grow with what is met.
 class Places {
   public:
-    explicit Places(const Names& fixed) : known_(fixed) {}
-    explicit Places(Names& growing) : known_(growing), growing_(&growing) {}
+    explicit Places(const NameTables& fixed) : known_(fixed) {}
+    explicit Places(NameTables& growing) : known_(growing), growing_(&growing) {}
 
     // False: a name that is given, but not known.
     bool zone(const std::string& name, int& place) const {
@@ -67,8 +67,8 @@
         return true;
     }
 
-    const Names& known_;
-    Names* growing_ = nullptr;
+    const NameTables& known_;
+    NameTables* growing_ = nullptr;
 };
 
 struct Broken : std::runtime_error {
@@ -93,14 +93,14 @@
     return text;
 }
 
-Member member_in(const msgpack::object& object, const Places& places, bool& known) {
+KnownEndpoint member_in(const msgpack::object& object, const Places& places, bool& known) {
     const auto& at = array_of(object, 10, 32, "a member that is no list of ten");
-    Word word;
-    CacheEntry& entry = word.placed.entry;
-    entry.cache = name_in(at.ptr[0]);
-    need(!entry.cache.empty() && entry.cache.find_first_of(" ,=") == std::string::npos,
+    EndpointRecord word;
+    Endpoint& entry = word.located.endpoint;
+    entry.name = name_in(at.ptr[0]);
+    need(!entry.name.empty() && entry.name.find_first_of(" ,=") == std::string::npos,
          "a member's name that can't be used");
-    word.placed.address = name_in(at.ptr[1]);
+    word.located.address = name_in(at.ptr[1]);
     known = places.zone(name_in(at.ptr[2]), entry.zone);
     known = places.kind(name_in(at.ptr[3]), entry.kind) && known;
     entry.cell = at.ptr[4].as<std::int64_t>();
@@ -108,13 +108,13 @@
     need(std::isfinite(entry.weight) && entry.weight >= 0, "a weight that is none");
     const int state = at.ptr[6].as<int>();
     need(state >= 0 && state <= 2, "a state that is none");
-    entry.state = static_cast<CacheState>(state);
-    entry.since = at.ptr[7].as<std::int64_t>();
-    word.seq = at.ptr[8].as<std::int64_t>();
-    need(entry.since >= 0 && word.seq >= 0, "a number below 0");
-    word.source = Source::saved;
-    const Micros answered = std::clamp<Micros>(at.ptr[9].as<std::int64_t>(), -1, kOldest);
-    return {std::make_shared<const Word>(std::move(word)), answered};
+    entry.state = static_cast<EndpointState>(state);
+    entry.started_at = at.ptr[7].as<std::int64_t>();
+    word.sequence = at.ptr[8].as<std::int64_t>();
+    need(entry.started_at >= 0 && word.sequence >= 0, "a number below 0");
+    word.source = RecordSource::snapshot;
+    const Micros answered = std::clamp<Micros>(at.ptr[9].as<std::int64_t>(), -1, kMaxSnapshotAge);
+    return {std::make_shared<const EndpointRecord>(std::move(word)), answered};
 }
 
 Snapshot list_in(const msgpack::object& root, const Places& places, std::size_t& left_out) {
@@ -125,17 +125,17 @@
         const auto key = item.key.as<std::string_view>();
         if (key == "site") list.site = name_in(item.val);
         if (key == "taken_at") list.taken_at = {item.val.as<std::int64_t>()};
-        if (key == "sure_age") list.sure_age = item.val.as<std::int64_t>();
-        if (key == "last_seq") list.last_seq = item.val.as<std::int64_t>();
-        if (key == "whole_at") list.whole_at = item.val.as<std::int64_t>();
-        if (key == "forgotten_to") list.forgotten_to = item.val.as<std::int64_t>();
+        if (key == "sure_age") list.confirmed_age = item.val.as<std::int64_t>();
+        if (key == "last_seq") list.last_sequence = item.val.as<std::int64_t>();
+        if (key == "whole_at") list.full_list_sequence = item.val.as<std::int64_t>();
+        if (key == "forgotten_to") list.forgotten_through = item.val.as<std::int64_t>();
         if (key == "members") {
             const auto& members = array_of(item.val, 0, kMostMembers, "too many members, or no list");
-            list.members.reserve(members.size);
+            list.endpoints.reserve(members.size);
             for (std::uint32_t m = 0; m < members.size; ++m) {
                 bool known = true;
-                Member member = member_in(members.ptr[m], places, known);
-                known ? list.members.push_back(std::move(member)) : static_cast<void>(++left_out);
+                KnownEndpoint member = member_in(members.ptr[m], places, known);
+                known ? list.endpoints.push_back(std::move(member)) : static_cast<void>(++left_out);
             }
         }
         if (key == "purges") {
@@ -147,8 +147,10 @@
             }
         }
     }
-    need(list.taken_at.micros > 0 && list.sure_age >= -1 && list.sure_age <= kOldest, "a time that is none");
-    need(list.last_seq >= 0 && list.whole_at >= 0 && list.whole_at <= list.last_seq && list.forgotten_to >= 0,
+    need(list.taken_at.micros > 0 && list.confirmed_age >= -1 && list.confirmed_age <= kMaxSnapshotAge,
+         "a time that is none");
+    need(list.last_sequence >= 0 && list.full_list_sequence >= 0 &&
+             list.full_list_sequence <= list.last_sequence && list.forgotten_through >= 0,
          "a number of the change log that is none");
     return list;
 }
@@ -160,60 +162,60 @@
     return plain;
 }
 
-Decoded fault(Fault::Kind kind, std::string text) {
-    Decoded decoded;
-    decoded.fault = Fault{kind, std::move(text)};
+DecodedSnapshot fault(SnapshotError::Code kind, std::string text) {
+    DecodedSnapshot decoded;
+    decoded.error = SnapshotError{kind, std::move(text)};
     return decoded;
 }
 
 }  // namespace
 
-const char* name_of(Fault::Kind kind) {
+const char* name_of(SnapshotError::Code kind) {
     switch (kind) {
-        case Fault::Kind::unreadable:
+        case SnapshotError::Code::unreadable:
             return "unreadable";
-        case Fault::Kind::not_a_list:
+        case SnapshotError::Code::not_a_list:
             return "not_a_list";
-        case Fault::Kind::later_version:
+        case SnapshotError::Code::later_version:
             return "later_version";
-        case Fault::Kind::damaged:
+        case SnapshotError::Code::damaged:
             return "damaged";
-        case Fault::Kind::other_site:
+        case SnapshotError::Code::other_site:
             return "other_site";
-        case Fault::Kind::wrong_clock:
+        case SnapshotError::Code::wrong_clock:
             return "wrong_clock";
     }
     return "?";
 }
 
-std::string encode(const Snapshot& list, const Names& names) {
+std::string encode(const Snapshot& list, const NameTables& names) {
     msgpack::sbuffer plain;
     msgpack::packer pack(plain);
     pack.pack_map(8);
     pack.pack("site"), pack.pack(list.site);
     pack.pack("taken_at"), pack.pack(list.taken_at.micros);
-    pack.pack("sure_age"), pack.pack(list.sure_age);
-    pack.pack("last_seq"), pack.pack(list.last_seq);
-    pack.pack("whole_at"), pack.pack(list.whole_at);
-    pack.pack("forgotten_to"), pack.pack(list.forgotten_to);
-    pack.pack("members"), pack.pack_array(static_cast<std::uint32_t>(list.members.size()));
-    for (const Member& member : list.members) {
-        const CacheEntry& entry = member.word->placed.entry;
+    pack.pack("sure_age"), pack.pack(list.confirmed_age);
+    pack.pack("last_seq"), pack.pack(list.last_sequence);
+    pack.pack("whole_at"), pack.pack(list.full_list_sequence);
+    pack.pack("forgotten_to"), pack.pack(list.forgotten_through);
+    pack.pack("members"), pack.pack_array(static_cast<std::uint32_t>(list.endpoints.size()));
+    for (const KnownEndpoint& member : list.endpoints) {
+        const Endpoint& entry = member.record->located.endpoint;
         pack.pack_array(10);
-        pack.pack(entry.cache), pack.pack(member.word->placed.address);
+        pack.pack(entry.name), pack.pack(member.record->located.address);
         pack.pack(name_at(names.zones, entry.zone)), pack.pack(name_at(names.kinds, entry.kind));
         pack.pack(entry.cell), pack.pack(entry.weight), pack.pack(static_cast<int>(entry.state));
-        pack.pack(entry.since), pack.pack(member.word->seq), pack.pack(member.answered);
+        pack.pack(entry.started_at), pack.pack(member.record->sequence), pack.pack(member.last_response_at);
     }
     pack.pack("purges"), pack.pack_array(static_cast<std::uint32_t>(list.purges.size()));
     for (const Purge& purge : list.purges) {
         pack.pack_array(3);
-        pack.pack(purge.object), pack.pack(purge.group), pack.pack(purge.at);
+        pack.pack(purge.object), pack.pack(purge.purge_group), pack.pack(purge.at);
     }
     std::string payload(ZSTD_compressBound(plain.size()), '\0');
     payload.resize(ZSTD_compress(payload.data(), payload.size(), plain.data(), plain.size(), kLevel));
     std::string bytes(kMagic);
-    put(bytes, kSavedVersion);
+    put(bytes, kSnapshotVersion);
     put(bytes, std::uint16_t{0});
     put(bytes, static_cast<std::uint32_t>(payload.size()));
     put(bytes, static_cast<std::uint32_t>(plain.size()));
@@ -224,28 +226,28 @@
 
 namespace {
 
-Decoded decode_with(std::string_view bytes, const Places& places) {
-    using Kind = Fault::Kind;
-    if (bytes.size() < kSavedHeader || !bytes.starts_with(kMagic))
+DecodedSnapshot decode_with(std::string_view bytes, const Places& places) {
+    using Kind = SnapshotError::Code;
+    if (bytes.size() < kSnapshotHeaderBytes || !bytes.starts_with(kMagic))
         return fault(Kind::not_a_list, fmt::format("{} bytes that don't begin as a list does", bytes.size()));
     if (get<std::uint64_t>(bytes, 28) != XXH3_64bits(bytes.data(), 28))
         return fault(Kind::damaged, "the checksum of the header does not hold");
     const auto version = get<std::uint16_t>(bytes, 8);
-    if (version > kSavedVersion)
-        return fault(Kind::later_version,
-                     fmt::format("written in form {}, this program reads up to {}", version, kSavedVersion));
+    if (version > kSnapshotVersion)
+        return fault(Kind::later_version, fmt::format("written in form {}, this program reads up to {}",
+                                                      version, kSnapshotVersion));
     const std::size_t packed = get<std::uint32_t>(bytes, 12), plain = get<std::uint32_t>(bytes, 16);
-    const std::string_view payload = bytes.substr(kSavedHeader);
-    if (payload.size() != packed || packed > kLongestSaved || plain > kLongestUnpacked)
+    const std::string_view payload = bytes.substr(kSnapshotHeaderBytes);
+    if (payload.size() != packed || packed > kMaxSnapshotBytes || plain > kMaxUnpackedBytes)
         return fault(Kind::damaged, fmt::format("{} bytes of {}", payload.size(), packed));
     if (get<std::uint64_t>(bytes, 20) != XXH3_64bits(payload.data(), payload.size()))
         return fault(Kind::damaged, "the checksum of the content does not hold");
-    Decoded decoded;
+    DecodedSnapshot decoded;
     try {
         const std::string content = unpacked(payload, plain);
         const msgpack::unpack_limit limits(kMostMembers + kMostPurges, 64, 4096, 4096, 0, 8);
         const auto handle = msgpack::unpack(content.data(), content.size(), nullptr, nullptr, limits);
-        decoded.list = list_in(handle.get(), places, decoded.left_out);
+        decoded.snapshot = list_in(handle.get(), places, decoded.left_out);
     } catch (const std::exception& wrong) {
         return fault(Kind::damaged, wrong.what());
     }
@@ -254,29 +256,32 @@
 
 }  // namespace
 
-Decoded decode(std::string_view bytes, const Names& names) {
+DecodedSnapshot decode(std::string_view bytes, const NameTables& names) {
     return decode_with(bytes, Places(names));
 }
 
-Decoded decode_all(std::string_view bytes, Names& names) {
+DecodedSnapshot decode_all(std::string_view bytes, NameTables& names) {
     return decode_with(bytes, Places(names));
 }
 
 Micros age_of(const Snapshot& list, base::UnixTime wall_now) {
-    return list.sure_age < 0 ? -1 : std::max<Micros>(0, wall_now - list.taken_at) + list.sure_age;
+    return list.confirmed_age < 0 ? -1 : std::max<Micros>(0, wall_now - list.taken_at) + list.confirmed_age;
 }
 
-std::optional<Fault> judge(const Snapshot& list, const std::string& site, base::UnixTime wall_now) {
+std::optional<SnapshotError> validate(const Snapshot& list, const std::string& site,
+                                      base::UnixTime wall_now) {
     if (list.site != site)
-        return Fault{Fault::Kind::other_site, fmt::format("of site '{}', this is '{}'", list.site, site)};
+        return SnapshotError{SnapshotError::Code::other_site,
+                             fmt::format("of site '{}', this is '{}'", list.site, site)};
     const Micros age = wall_now - list.taken_at;
     if (age < -kClockSlack)
-        return Fault{Fault::Kind::wrong_clock,
-                     fmt::format("written {} s ahead of the system's clock", -age / base::kSecond)};
-    if (age > kOldest)
-        return Fault{Fault::Kind::wrong_clock,
-                     fmt::format("{} days old by the system's clock", age / (86'400 * base::kSecond))};
+        return SnapshotError{SnapshotError::Code::wrong_clock,
+                             fmt::format("written {} s ahead of the system's clock", -age / base::kSecond)};
+    if (age > kMaxSnapshotAge)
+        return SnapshotError{
+            SnapshotError::Code::wrong_clock,
+            fmt::format("{} days old by the system's clock", age / (86'400 * base::kSecond))};
     return std::nullopt;
 }
 
-}  // namespace sumackeel::membership
+}  // namespace sumackeel::endpoints
--- a/src/membership/saved.h
+++ b/src/endpoints/snapshot_codec.h
@@ -10,23 +10,23 @@
 #include <string_view>
 #include <vector>
 
-#include "membership/view.h"
+#include "endpoints/endpoint_view.h"
 
-namespace sumackeel::membership {
+namespace sumackeel::endpoints {
 
-constexpr std::uint16_t kSavedVersion = 1;
-constexpr std::size_t kSavedHeader = 36;
-constexpr std::size_t kLongestSaved = 64u << 20;      // bytes on disk
-constexpr std::size_t kLongestUnpacked = 256u << 20;  // bytes in memory
+constexpr std::uint16_t kSnapshotVersion = 1;
+constexpr std::size_t kSnapshotHeaderBytes = 36;
+constexpr std::size_t kMaxSnapshotBytes = 64u << 20;   // bytes on disk
+constexpr std::size_t kMaxUnpackedBytes = 256u << 20;  // bytes in memory
 
 // The names that go with the numbers of zones and kinds.
-struct Names {
+struct NameTables {
     std::vector<std::string> zones, kinds;
 };
 
 // Why a file is passed over.
-struct Fault {
-    enum class Kind {
+struct SnapshotError {
+    enum class Code {
         unreadable,     // can't be opened or read
         not_a_list,     // too short, or other bytes
         later_version,  // written by a newer program
@@ -34,32 +34,32 @@
         other_site,
         wrong_clock  // from the future, or absurdly old: its age can't be told
     };
-    Kind kind;
+    Code code;
     std::string text;  // one plain line
 };
 
-struct Decoded {
-    Snapshot list;
-    std::optional<Fault> fault;  // set: `list` is empty
-    std::size_t left_out = 0;    // members of zones or kinds that are no longer known
+struct DecodedSnapshot {
+    Snapshot snapshot;
+    std::optional<SnapshotError> error;  // set: `list` is empty
+    std::size_t left_out = 0;            // members of zones or kinds that are no longer known
 };
 
-std::string encode(const Snapshot& list, const Names& names);
+std::string encode(const Snapshot& list, const NameTables& names);
 // Never throws, whatever the bytes.
-Decoded decode(std::string_view bytes, const Names& names);
+DecodedSnapshot decode(std::string_view bytes, const NameTables& names);
 
 // For tools that know no settings: zones and kinds are added to `names` as they are met.
-Decoded decode_all(std::string_view bytes, Names& names);
+DecodedSnapshot decode_all(std::string_view bytes, NameTables& names);
 
 // What speaks against using a list that could be read. `wall_now`: the system's clock.
 // A clock may be ahead by kClockSlack; older than kOldest is no age but a wrong clock.
 constexpr Micros kClockSlack = 2 * base::kSecond;
-constexpr Micros kOldest = 400LL * 86'400 * base::kSecond;
-std::optional<Fault> judge(const Snapshot& list, const std::string& site, base::UnixTime wall_now);
+constexpr Micros kMaxSnapshotAge = 400LL * 86'400 * base::kSecond;
+std::optional<SnapshotError> validate(const Snapshot& list, const std::string& site, base::UnixTime wall_now);
 
 // The age of the list by `wall_now`; below 0: no live source ever confirmed it.
 Micros age_of(const Snapshot& list, base::UnixTime wall_now);
 
-const char* name_of(Fault::Kind kind);
+const char* name_of(SnapshotError::Code kind);
 
-}  // namespace sumackeel::membership
+}  // namespace sumackeel::endpoints
--- a/src/membership/sources.cpp
+++ b/src/endpoints/watch_sources.cpp
@@ -1,32 +1,32 @@
-#include "membership/sources.h"
+#include "endpoints/watch_sources.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace sumackeel::membership {
+namespace sumackeel::endpoints {
 
-const char* name_of(Sources::State state) {
+const char* name_of(WatchSources::State state) {
     switch (state) {
-        case Sources::State::resting:
+        case WatchSources::State::resting:
             return "resting";
-        case Sources::State::calling:
+        case WatchSources::State::calling:
             return "calling";
-        case Sources::State::asked:
+        case WatchSources::State::asked:
             return "asked";
-        case Sources::State::following:
+        case WatchSources::State::following:
             return "following";
     }
     return "?";
 }
 
-Sources::Sources(std::size_t count, SourceOptions options, std::uint64_t seed)
+WatchSources::WatchSources(std::size_t count, WatchOptions options, std::uint64_t seed)
     : set_(options), rng_(seed), health_(count) {}
 
-void Sources::replace(std::size_t count) {
+void WatchSources::replace(std::size_t count) {
     health_.assign(count, Health{});
 }
 
-void Sources::known(std::int64_t seq, Micros now) {
+void WatchSources::known(std::int64_t seq, Micros now) {
     constexpr std::size_t kMost = 4096;  // a burst beyond this settles as one
     if (!newest_.empty() && seq <= newest_.back().first) return;
     if (newest_.size() >= kMost)
@@ -36,18 +36,18 @@
 }
 
 // The newest number that has been known for longer than sources may be apart.
-std::int64_t Sources::settled(Micros now) {
+std::int64_t WatchSources::settled(Micros now) {
     while (newest_.size() > 1 && newest_[1].second + set_.lag <= now) newest_.pop_front();
     return newest_.empty() ? 0 : newest_.front().first;
 }
 
-void Sources::weigh(Health& health, Micros now) {
+void WatchSources::weigh(Health& health, Micros now) {
     health.proven = health.state == State::following &&
                     (!set_.prove || (health.on_this > 0 && health.on_this >= settled(now)));
 }
 
 // Good, or not yet known to be otherwise: one just called has its time to answer.
-bool Sources::good(const Health& health) const {
+bool WatchSources::good(const Health& health) const {
     switch (health.state) {
         case State::resting:
             return false;
@@ -60,7 +60,7 @@
     return false;
 }
 
-void Sources::fail(Health& health, Micros now, std::string why) {
+void WatchSources::fail(Health& health, Micros now, std::string why) {
     const bool steady = health.state == State::following && now - health.since >= set_.steady_after;
     health.failures = steady ? 1 : std::min(health.failures + 1, 30);
     Micros wait = set_.first_wait;
@@ -75,7 +75,7 @@
     health.last_fault = std::move(why);
 }
 
-std::vector<Sources::Step> Sources::next(Micros now, std::int64_t newest) {
+std::vector<WatchSources::Step> WatchSources::next_steps(Micros now, std::int64_t newest) {
     std::vector<Step> steps;
     known(newest, newest_.empty() ? now - set_.lag : now);  // what was there at the start has settled
     for (std::size_t i = 0; i < health_.size(); ++i) {
@@ -118,7 +118,7 @@
     return steps;
 }
 
-std::optional<Micros> Sources::due() const {
+std::optional<Micros> WatchSources::next_deadline() const {
     std::optional<Micros> first;
     for (const Health& health : health_) {
         const Micros at = health.state == State::resting     ? health.rest_until
@@ -129,14 +129,14 @@
     return first;
 }
 
-void Sources::asked(std::size_t source, Micros now) {
+void WatchSources::on_connected(std::size_t source, Micros now) {
     Health& health = health_[source];
     if (health.state != State::calling) return;
     health.state = State::asked;
     health.since = now;
 }
 
-bool Sources::heard(std::size_t source, Micros now) {
+bool WatchSources::on_data(std::size_t source, Micros now) {
     Health& health = health_[source];
     if (health.state == State::resting) return false;
     if (health.state != State::following) health.since = now;
@@ -147,20 +147,21 @@
     return health.proven;
 }
 
-Sources::Took Sources::event(std::size_t source, std::int64_t seq, std::int64_t newest, Micros now) {
+WatchSources::EventResult WatchSources::on_event(std::size_t source, std::int64_t seq, std::int64_t newest,
+                                                 Micros now) {
     Health& health = health_[source];
     const bool back = seq < health.on_this;
     health.on_this = std::max(health.on_this, seq);
     health.highest = std::max(health.highest, seq);
     known(std::max(seq, newest), now);
-    heard(source, now);
-    if (seq > newest) return Took::take;
-    return back && !std::exchange(health.went_back, true) ? Took::went_back : Took::known;
+    on_data(source, now);
+    if (seq > newest) return EventResult::apply;
+    return back && !std::exchange(health.went_back, true) ? EventResult::went_back : EventResult::duplicate;
 }
 
-void Sources::gone(std::size_t source, Micros now, std::string why) {
+void WatchSources::on_disconnected(std::size_t source, Micros now, std::string why) {
     Health& health = health_[source];
     if (health.state != State::resting) fail(health, now, std::move(why));
 }
 
-}  // namespace sumackeel::membership
+}  // namespace sumackeel::endpoints
--- a/src/membership/sources.h
+++ b/src/endpoints/watch_sources.h
@@ -1,5 +1,5 @@
 // Several change logs in order: which to follow, when to call one again, which to believe. Events and times
-// in, steps out; the sockets are elsewhere (src/feed).
+// in, steps out; the sockets are elsewhere (src/discovery).
 //
 // The first `follow` good sources in order are followed; one further down is called while fewer are good. A
 // source is proven once it has told an event as new as the newest known when it was called; only a proven one
@@ -17,11 +17,11 @@
 
 #include "base/time.h"
 
-namespace sumackeel::membership {
+namespace sumackeel::endpoints {
 
 using base::Micros;
 
-struct SourceOptions {
+struct WatchOptions {
     Micros first_wait = 100'000;    // before a source that failed is called again; doubled with each failure,
     Micros longest_wait = 100'000;  // up to this
     double jitter = 0;              // each wait is drawn from (1 - jitter) to 1 times its length; 0 to 1
@@ -33,7 +33,7 @@
     bool prove = false;  // false: a source is taken as proven with its first byte, as the only one must be
 };
 
-class Sources {
+class WatchSources {
   public:
     enum class State { resting, calling, asked, following };
     struct Health {
@@ -54,24 +54,24 @@
         std::int64_t behind = 0;  // call: the number to ask from
     };
     // What to do with an event.
-    enum class Took {
-        take,
-        known,     // not newer than the newest known
-        went_back  // the same, and the source told a higher number on this connection before: once each
+    enum class EventResult {
+        apply,
+        duplicate,  // not newer than the newest known
+        went_back   // the same, and the source told a higher number on this connection before: once each
     };
 
-    Sources(std::size_t count, SourceOptions options, std::uint64_t seed);
+    WatchSources(std::size_t count, WatchOptions options, std::uint64_t seed);
 
     // `newest`: the number of the newest event known. Steps are to be carried out in order.
-    std::vector<Step> next(Micros now, std::int64_t newest);
+    std::vector<Step> next_steps(Micros now, std::int64_t newest);
     // When next() may have something to do by time alone.
-    std::optional<Micros> due() const;
+    std::optional<Micros> next_deadline() const;
 
-    void asked(std::size_t source, Micros now);  // the connection is up and the request is written
+    void on_connected(std::size_t source, Micros now);  // the connection is up and the request is written
     // Bytes of an answer came. True: the source is proven, so the list is current.
-    bool heard(std::size_t source, Micros now);
-    Took event(std::size_t source, std::int64_t seq, std::int64_t newest, Micros now);
-    void gone(std::size_t source, Micros now, std::string why);
+    bool on_data(std::size_t source, Micros now);
+    EventResult on_event(std::size_t source, std::int64_t seq, std::int64_t newest, Micros now);
+    void on_disconnected(std::size_t source, Micros now, std::string why);
     // The list of sources is another one from now on: all are called afresh and at once.
     void replace(std::size_t count);
 
@@ -84,13 +84,13 @@
     bool good(const Health& health) const;
     void fail(Health& health, Micros now, std::string why);
 
-    SourceOptions set_;
+    WatchOptions set_;
     std::mt19937_64 rng_;
     std::vector<Health> health_;
     // What became the newest number when, the oldest first; from the one that has settled on.
     std::deque<std::pair<std::int64_t, Micros>> newest_;
 };
 
-const char* name_of(Sources::State state);
+const char* name_of(WatchSources::State state);
 
-}  // namespace sumackeel::membership
+}  // namespace sumackeel::endpoints
--- a/src/expect/case.cpp
+++ b/src/expectations/counterexample_file.cpp
@@ -1,4 +1,4 @@
-#include "expect/case.h"
+#include "expectations/counterexample_file.h"
 
 #include <json/json.h>
 
@@ -6,7 +6,7 @@
 
 #include "config/read.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 using config::bad;
 using config::Node;
@@ -42,15 +42,16 @@
 
 }  // namespace
 
-std::string write_case(const Fleet& fleet, const Expectation& expectation, const Counterexample& example) {
+std::string write_case(const FleetModel& fleet, const Expectation& expectation,
+                       const Counterexample& example) {
     Value root;
     root["version"] = kVersion;
     root["settings"] = config::parse(fleet.settings_text, "settings");
     Value& hosts = root["hosts"] = Value(Json::arrayValue);
     for (std::size_t i = 0; i < fleet.members.size(); ++i) {
-        const auto& entry = fleet.members[i].entry;
+        const auto& entry = fleet.members[i].endpoint;
         Value one;
-        one["host"] = entry.cache;
+        one["host"] = entry.name;
         one["dial"] = fleet.members[i].address;
         one["site"] = fleet.zone_of(i);
         if (entry.kind >= 0) one["class"] = fleet.site.kinds[entry.kind];
@@ -62,22 +63,22 @@
     root["expect"] = json_of(expectation.source);
     Value& world = root["world"];
     world["title"] = example.world.title;
-    world["school"] = fleet.site.zones[example.world.school];
+    world["school"] = fleet.site.zones[example.world.zone];
     world["seed"] = std::to_string(example.world.seed);  // beyond what JSON numbers hold exactly
     world["happenings"] = Value(Json::arrayValue);
-    for (const Happening& one : example.world.happenings) {
+    for (const FaultEvent& one : example.world.faults) {
         Value item;
         item["at_us"] = Json::Int64{one.at};
-        item["trouble"] = name_of(one.trouble);
+        item["trouble"] = name_of(one.fault);
         item["member"] = fleet.name(one.member);
         world["happenings"].append(item);
     }
     root["requests"] = Value(Json::arrayValue);
-    for (const Ask& ask : example.asks) {
+    for (const SimulatedRequest& ask : example.asks) {
         Value item;
         item["at_us"] = Json::Int64{ask.at};
         item["number"] = ask.number;
-        item["class"] = fleet.site.classes[ask.service];
+        item["class"] = fleet.site.classes[ask.class_index];
         item["object"] = ask.object;
         item["part"] = ask.part;
         item["size_kb"] = ask.size_kb;
@@ -100,12 +101,12 @@
         if (!root[key].isArray()) bad(file, std::string(key) + " is missing or not a list");
     Case one;
     const std::string settings = text_of(root["settings"], true);
-    const config::Site site = config::read_site(settings);
+    const config::Site site = config::parse_site(settings);
     Value event;
     event["seq"] = 1;
     event["fleet"]["whole"] = true;
     event["fleet"]["hosts"] = root["hosts"];
-    one.fleet = make_fleet(settings, {config::read_change(event, site)});
+    one.fleet = make_fleet(settings, {config::parse_watch_event(event, site)});
     Value suite;
     suite["expect"] = Value(Json::arrayValue);
     suite["expect"].append(root["expect"]);
@@ -115,7 +116,7 @@
     const auto school = config::need<std::string>(world, "school", file + ".world");
     const auto zone = std::find(site.zones.begin(), site.zones.end(), school);
     if (zone == site.zones.end()) bad(file + ".world.school", "no school '" + school + "'");
-    one.world.school = static_cast<int>(zone - site.zones.begin());
+    one.world.zone = static_cast<int>(zone - site.zones.begin());
     const auto seed = config::need<std::string>(world, "seed", file + ".world");
     if (seed.empty() || seed.size() > 20 || seed.find_first_not_of("0123456789") != std::string::npos)
         bad(file + ".world.seed", "no whole number");
@@ -128,22 +129,22 @@
         return at;
     };
     for (const Value& item : world["happenings"]) {
-        Happening happening;
+        FaultEvent happening;
         happening.at = at_of(item);
-        const auto trouble = trouble_of(config::need<std::string>(item, "trouble", file));
+        const auto trouble = fault_named(config::need<std::string>(item, "trouble", file));
         happening.member = one.fleet.find(config::need<std::string>(item, "member", file));
         if (!trouble || happening.member < 0) bad(file + ".world.happenings", "an unknown trouble or member");
-        happening.trouble = *trouble;
-        one.world.happenings.push_back(happening);
+        happening.fault = *trouble;
+        one.world.faults.push_back(happening);
     }
     for (const Value& item : root["requests"]) {
-        Ask ask;
+        SimulatedRequest ask;
         ask.at = at_of(item);
         ask.number = config::need<int>(item, "number", file);
         const auto service = config::need<std::string>(item, "class", file);
         const auto found = std::find(site.classes.begin(), site.classes.end(), service);
         if (found == site.classes.end()) bad(file + ".requests", "no class '" + service + "'");
-        ask.service = static_cast<int>(found - site.classes.begin());
+        ask.class_index = static_cast<int>(found - site.classes.begin());
         ask.object = config::need<int>(item, "object", file);
         config::take(item, "part", ask.part, file);
         ask.size_kb = config::need<double>(item, "size_kb", file);
@@ -151,8 +152,8 @@
         one.asks.push_back(ask);
     }
     std::stable_sort(one.asks.begin(), one.asks.end(),
-                     [](const Ask& a, const Ask& b) { return a.at < b.at; });
+                     [](const SimulatedRequest& a, const SimulatedRequest& b) { return a.at < b.at; });
     return one;
 }
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/case.h
+++ b/src/expectations/counterexample_file.h
@@ -4,19 +4,20 @@
 
 #include <string>
 
-#include "expect/judge.h"
+#include "expectations/evaluator.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 struct Case {
-    Fleet fleet;
+    FleetModel fleet;
     Suite suite;  // the one expectation
-    World world;
-    std::vector<Ask> asks;
+    Scenario world;
+    std::vector<SimulatedRequest> asks;
 };
 
-std::string write_case(const Fleet& fleet, const Expectation& expectation, const Counterexample& example);
+std::string write_case(const FleetModel& fleet, const Expectation& expectation,
+                       const Counterexample& example);
 // Throws config::ConfigError, naming `file`, on anything that can't be such a file.
 Case read_case(const std::string& text, const std::string& file);
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/judge.cpp
+++ b/src/expectations/evaluator.cpp
@@ -1,4 +1,4 @@
-#include "expect/judge.h"
+#include "expectations/evaluator.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <boost/math/distributions/beta.hpp>
 #include <set>
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 namespace {
 
@@ -14,15 +14,15 @@
 
 }  // namespace
 
-const char* name_of(Holds holds) {
+const char* name_of(Conclusion holds) {
     switch (holds) {
-        case Holds::yes:
+        case Conclusion::yes:
             return "holds";
-        case Holds::broken:
+        case Conclusion::broken:
             return "broken";
-        case Holds::undecided:
+        case Conclusion::undecided:
             return "undecided";
-        case Holds::never_applied:
+        case Conclusion::never_applied:
             return "never applied";
     }
     return "?";
@@ -32,7 +32,7 @@
     return rule == Rule::share_at_most || rule == Rule::share_at_least || rule == Rule::refused_at_most;
 }
 
-void Tally::add(const Tally& other) {
+void Counts::add(const Counts& other) {
     applied += other.applied;
     counted += other.counted;
     broken += other.broken;
@@ -50,14 +50,14 @@
             k < n ? boost::math::quantile(beta_distribution<>(k + 1, n - k), 1 - tail) : 1};
 }
 
-Verdict verdict_of(const Expectation& one, const Tally& tally) {
-    Verdict verdict;
+Evaluation verdict_of(const Expectation& one, const Counts& tally) {
+    Evaluation verdict;
     if (tally.applied == 0) {
         verdict.text = "no run came to what it is about";
         return verdict;
     }
     if (!is_share(one.rule)) {
-        verdict.holds = tally.broken ? Holds::broken : Holds::yes;
+        verdict.holds = tally.broken ? Conclusion::broken : Conclusion::yes;
         verdict.text = fmt::format("{} times, {} broken", tally.applied, tally.broken);
         return verdict;
     }
@@ -65,17 +65,17 @@
     const bool least = one.rule == Rule::share_at_least;
     const bool kept = least ? bounds.lower >= one.limit : bounds.upper <= one.limit;
     const bool past = least ? bounds.upper < one.limit : bounds.lower > one.limit;
-    verdict.holds = kept ? Holds::yes : past ? Holds::broken : Holds::undecided;
+    verdict.holds = kept ? Conclusion::yes : past ? Conclusion::broken : Conclusion::undecided;
     verdict.text = fmt::format("{} of {}, {:.4f} ({:.4f} to {:.4f})", tally.counted, tally.applied,
                                bounds.share, bounds.lower, bounds.upper);
     return verdict;
 }
 
-std::string Judge::name(int member) const {
+std::string Evaluator::name(int member) const {
     return member < 0 ? "nobody" : fleet_.name(static_cast<std::size_t>(member));
 }
 
-bool Judge::conditions_hold(std::size_t place, const std::vector<ToldState>& told) const {
+bool Evaluator::conditions_hold(std::size_t place, const std::vector<NotifiedStateSince>& told) const {
     const auto& conditions = expectations_[place].conditions;
     for (std::size_t c = 0; c < conditions.size(); ++c) {
         const std::vector<bool>& members = conditions_[place][c];
@@ -93,15 +93,16 @@
 
 // `words` is only called for the first break.
 template <typename Words>
-void Judge::allow(std::size_t place, bool allowed, Micros at, int request, const Words& words) {
-    Tally& tally = tallies_[place];
+void Evaluator::allow(std::size_t place, bool allowed, Micros at, int request, const Words& words) {
+    Counts& tally = tallies_[place];
     ++tally.applied;
     if (allowed) return;
     ++tally.broken;
-    if (!tally.first) tally.first = Break{world_.number, at, request, words()};
+    if (!tally.first) tally.first = Violation{world_.number, at, request, words()};
 }
 
-void Judge::decided(const Ask& ask, const Decision& made, const std::vector<ToldState>& told) {
+void Evaluator::on_decision(const SimulatedRequest& ask, const Decision& made,
+                            const std::vector<NotifiedStateSince>& told) {
     ++decisions_;
     const std::string object = has_patterns_ ? object_name(ask.object) : "";
     const int group = group_of(ask.object);
@@ -115,7 +116,7 @@
     };
     for (std::size_t i = 0; i < expectations_.size(); ++i) {
         const Expectation& one = expectations_[i];
-        if (!one.concerns(ask.service, world_.school, object, group)) continue;
+        if (!one.concerns(ask.class_index, world_.zone, object, group)) continue;
         if (!one.conditions.empty() && !conditions_hold(i, told)) continue;
         const auto judge = [&](bool allowed, const auto& words) {
             allow(i, allowed, made.at, made.request, words);
@@ -143,12 +144,13 @@
                 }
                 break;
             case Rule::never_twice:
-                if (fleet_.site.settings.classes[ask.service].semantics != nettlethread::Semantics::safe)
+                if (fleet_.site.settings.classes[ask.class_index].retry_safety !=
+                    routing::RetrySafety::idempotent)
                     judge(!made.may_have_run, [&] { return what() + ", though it may have run"; });
                 break;
             case Rule::kept_at_rank:
                 if (fill && fleet_.kind_of(made.target) == Kind::cache &&
-                    !fleet_.site.settings.classes[ask.service].uncached)
+                    !fleet_.site.settings.classes[ask.class_index].uncacheable)
                     judge(made.rank == static_cast<int>(one.limit),
                           [&] { return fmt::format("{}, kept at rank {}", what(), made.rank); });
                 break;
@@ -158,16 +160,17 @@
                 std::string who;
                 for (const int member : {made.target, made.source}) {
                     if (member < 0) continue;
-                    const ToldState& state = told[member];
-                    if (state.told != Told::draining && state.told != Told::gone) continue;
+                    const NotifiedStateSince& state = told[member];
+                    if (state.told != NotifiedState::draining && state.told != NotifiedState::gone) continue;
                     out = true;
                     if (made.at - state.since > bound) late = true, who = name(member);
                 }
                 // It is about each decision taken while somebody is out: there it could have been broken.
-                const bool somebody = std::any_of(told.begin(), told.end(), [&](const ToldState& state) {
-                    return (state.told == Told::draining || state.told == Told::gone) &&
-                           made.at - state.since > bound;
-                });
+                const bool somebody =
+                    std::any_of(told.begin(), told.end(), [&](const NotifiedStateSince& state) {
+                        return (state.told == NotifiedState::draining || state.told == NotifiedState::gone) &&
+                               made.at - state.since > bound;
+                    });
                 if (somebody || out)
                     judge(!late,
                           [&] { return fmt::format("{}, though {} was told to be out", what(), who); });
@@ -180,56 +183,58 @@
     }
 }
 
-void Judge::ended(const Ask& ask, const RequestEnd& end, const std::vector<ToldState>& told) {
+void Evaluator::on_request_finished(const SimulatedRequest& ask, const RequestResult& end,
+                                    const std::vector<NotifiedStateSince>& told) {
     const std::string object = has_patterns_ ? object_name(ask.object) : "";
     for (std::size_t i = 0; i < expectations_.size(); ++i) {
         const Expectation& one = expectations_[i];
         if (one.rule != Rule::refused_at_most && one.rule != Rule::attempts_at_most) continue;
-        if (!one.concerns(ask.service, world_.school, object, group_of(ask.object))) continue;
+        if (!one.concerns(ask.class_index, world_.zone, object, group_of(ask.object))) continue;
         if (!one.conditions.empty() && !conditions_hold(i, told)) continue;
         if (one.rule == Rule::attempts_at_most) {
-            allow(i, end.attempts <= one.limit, ask.at + end.took, end.request,
+            allow(i, end.attempts <= one.limit, ask.at + end.elapsed, end.request,
                   [&] { return fmt::format("request {} took {} attempts", end.request, end.attempts); });
             continue;
         }
         ++tallies_[i].applied;
-        tallies_[i].counted += end.how != Ended::served;
+        tallies_[i].counted += end.outcome != RequestOutcome::served;
     }
 }
 
-Outcome run_world(const World& world, const Fleet& fleet, const Suite& suite) {
-    Judge judge(fleet, suite.expectations, world);
-    const std::vector<Ask> asks = traffic_of(world, fleet, suite.traffic);
-    play(world, fleet, asks, judge);
+Outcome run_world(const Scenario& world, const FleetModel& fleet, const Suite& suite) {
+    Evaluator judge(fleet, suite.expectations, world);
+    const std::vector<SimulatedRequest> asks = traffic_of(world, fleet, suite.traffic);
+    simulate(world, fleet, asks, judge);
     return {judge.tallies(), judge.decisions(), asks.size()};
 }
 
 namespace {
 
 // Whether this still breaks the one expectation, and where first.
-std::optional<Break> breaks(const World& world, const Fleet& fleet, const std::vector<Expectation>& one,
-                            const std::vector<Ask>& asks) {
-    Judge judge(fleet, one, world);
-    play(world, fleet, asks, judge);
+std::optional<Violation> breaks(const Scenario& world, const FleetModel& fleet,
+                                const std::vector<Expectation>& one,
+                                const std::vector<SimulatedRequest>& asks) {
+    Evaluator judge(fleet, one, world);
+    simulate(world, fleet, asks, judge);
     return judge.tallies()[0].first;
 }
 
-std::size_t members_in(const std::vector<Happening>& happenings) {
+std::size_t members_in(const std::vector<FaultEvent>& happenings) {
     std::set<int> members;
-    for (const Happening& one : happenings) members.insert(one.member);
+    for (const FaultEvent& one : happenings) members.insert(one.member);
     return members.size();
 }
 
 }  // namespace
 
-std::optional<Counterexample> shrink(const World& world, const Fleet& fleet, const Suite& suite,
+std::optional<Counterexample> shrink(const Scenario& world, const FleetModel& fleet, const Suite& suite,
                                      std::size_t place) {
     const std::vector<Expectation> one{suite.expectations[place]};
     Counterexample best{world, traffic_of(world, fleet, suite.traffic), {}, 0};
     auto found = breaks(best.world, fleet, one, best.asks);
     if (!found) return std::nullopt;
     best.broken = *found;
-    const auto still = [&](const World& smaller, const std::vector<Ask>& asks) {
+    const auto still = [&](const Scenario& smaller, const std::vector<SimulatedRequest>& asks) {
         if (best.tried >= kMostTries) return false;
         ++best.tried;
         const auto broken = breaks(smaller, fleet, one, asks);
@@ -240,8 +245,8 @@
         return true;
     };
     const auto only_until_the_break = [&] {
-        std::vector<Ask> asks;
-        for (const Ask& ask : best.asks)
+        std::vector<SimulatedRequest> asks;
+        for (const SimulatedRequest& ask : best.asks)
             if (ask.at <= best.broken.at) asks.push_back(ask);
         if (asks.size() < best.asks.size()) still(best.world, asks);
     };
@@ -250,15 +255,15 @@
     for (bool smaller = true; smaller;) {
         smaller = false;
         std::set<int> members;
-        for (const Happening& happening : best.world.happenings) members.insert(happening.member);
+        for (const FaultEvent& happening : best.world.faults) members.insert(happening.member);
         for (const int member : members) {
-            World without = best.world;
-            std::erase_if(without.happenings, [&](const Happening& h) { return h.member == member; });
+            Scenario without = best.world;
+            std::erase_if(without.faults, [&](const FaultEvent& h) { return h.member == member; });
             smaller = still(without, best.asks) || smaller;
         }
-        for (std::size_t i = 0; i < best.world.happenings.size(); ++i) {
-            World without = best.world;
-            without.happenings.erase(without.happenings.begin() + static_cast<std::ptrdiff_t>(i));
+        for (std::size_t i = 0; i < best.world.faults.size(); ++i) {
+            Scenario without = best.world;
+            without.faults.erase(without.faults.begin() + static_cast<std::ptrdiff_t>(i));
             if (still(without, best.asks)) smaller = true, --i;
         }
     }
@@ -266,7 +271,7 @@
     only_until_the_break();
     for (std::size_t chunk = std::max<std::size_t>(1, best.asks.size() / 2);; chunk /= 2) {
         for (std::size_t from = 0; from < best.asks.size();) {
-            std::vector<Ask> rest = best.asks;
+            std::vector<SimulatedRequest> rest = best.asks;
             rest.erase(rest.begin() + static_cast<std::ptrdiff_t>(from),
                        rest.begin() + static_cast<std::ptrdiff_t>(std::min(from + chunk, rest.size())));
             if (rest.empty() || !still(best.world, rest)) from += chunk;
@@ -274,8 +279,8 @@
         if (chunk == 1) break;
     }
     best.world.title = fmt::format("{} members in trouble, {} requests, out of: {}",
-                                   members_in(best.world.happenings), best.asks.size(), world.title);
+                                   members_in(best.world.faults), best.asks.size(), world.title);
     return best;
 }
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/judge.h
+++ b/src/expectations/evaluator.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "expect/drive.h"
+#include "expectations/simulation.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 // One decision, or one request's end, that an expectation does not allow.
-struct Break {
+struct Violation {
     int world = -1;
     Micros at = 0;
     int request = 0;
@@ -19,14 +19,14 @@
 };
 
 // Of one expectation, over any number of runs.
-struct Tally {
-    std::uint64_t applied = 0;   // decisions or requests that it was about
-    std::uint64_t counted = 0;   // of those, the ones that shares count
-    std::uint64_t broken = 0;    // of rules that allow none
-    std::optional<Break> first;  // in the lowest world, the earliest there
+struct Counts {
+    std::uint64_t applied = 0;       // decisions or requests that it was about
+    std::uint64_t counted = 0;       // of those, the ones that shares count
+    std::uint64_t broken = 0;        // of rules that allow none
+    std::optional<Violation> first;  // in the lowest world, the earliest there
 
-    void add(const Tally& other);
-    bool operator==(const Tally& other) const {
+    void add(const Counts& other);
+    bool operator==(const Counts& other) const {
         return applied == other.applied && counted == other.counted && broken == other.broken;
     }
 };
@@ -37,23 +37,23 @@
 };
 Bounds bounds_of(std::uint64_t counted, std::uint64_t of, double confidence);
 
-enum class Holds { yes, broken, undecided, never_applied };
-const char* name_of(Holds holds);
+enum class Conclusion { yes, broken, undecided, never_applied };
+const char* name_of(Conclusion holds);
 
-struct Verdict {
-    Holds holds = Holds::never_applied;
+struct Evaluation {
+    Conclusion holds = Conclusion::never_applied;
     Bounds bounds;  // of rules on shares
     std::string text;
 };
 // Shares by Clopper and Pearson's exact bounds at the expectation's confidence: broken if the lower bound of
 // the share is past the limit, held if the upper one keeps it, else undecided.
-Verdict verdict_of(const Expectation& expectation, const Tally& tally);
+Evaluation verdict_of(const Expectation& expectation, const Counts& tally);
 bool is_share(Rule rule);
 
 // Watches one run of one world.
-class Judge : public Watcher {
+class Evaluator : public SimulationObserver {
   public:
-    Judge(const Fleet& fleet, const std::vector<Expectation>& expectations, const World& world)
+    Evaluator(const FleetModel& fleet, const std::vector<Expectation>& expectations, const Scenario& world)
         : fleet_(fleet), expectations_(expectations), world_(world), tallies_(expectations.size()) {
         for (const Expectation& one : expectations) {
             groups_.push_back(one.group.members(fleet));
@@ -63,43 +63,45 @@
                 conditions_.back().push_back(condition.group.members(fleet));
         }
     }
-    void decided(const Ask& ask, const Decision& decision, const std::vector<ToldState>& told) override;
-    void ended(const Ask& ask, const RequestEnd& end, const std::vector<ToldState>& told) override;
-    const std::vector<Tally>& tallies() const { return tallies_; }
+    void on_decision(const SimulatedRequest& ask, const Decision& decision,
+                     const std::vector<NotifiedStateSince>& told) override;
+    void on_request_finished(const SimulatedRequest& ask, const RequestResult& end,
+                             const std::vector<NotifiedStateSince>& told) override;
+    const std::vector<Counts>& tallies() const { return tallies_; }
     std::uint64_t decisions() const { return decisions_; }
 
   private:
-    bool conditions_hold(std::size_t place, const std::vector<ToldState>& told) const;
+    bool conditions_hold(std::size_t place, const std::vector<NotifiedStateSince>& told) const;
     template <typename Words>
     void allow(std::size_t place, bool allowed, Micros at, int request, const Words& words);
     std::string name(int member) const;
 
-    const Fleet& fleet_;
+    const FleetModel& fleet_;
     const std::vector<Expectation>& expectations_;
-    const World& world_;
+    const Scenario& world_;
     std::vector<std::vector<bool>> groups_;                   // by expectation: the members of its group
     std::vector<std::vector<std::vector<bool>>> conditions_;  // and those of each of its conditions
-    std::vector<Tally> tallies_;
+    std::vector<Counts> tallies_;
     bool has_patterns_ = false;
     std::uint64_t decisions_ = 0;
 };
 
 // Of one world: what a run of it comes to. Pure, so that worlds may run on any thread in any order.
 struct Outcome {
-    std::vector<Tally> tallies;
+    std::vector<Counts> tallies;
     std::uint64_t decisions = 0, requests = 0;
 };
-Outcome run_world(const World& world, const Fleet& fleet, const Suite& suite);
+Outcome run_world(const Scenario& world, const FleetModel& fleet, const Suite& suite);
 
 // A world and requests that break one expectation, as small as could be found: fewest members in trouble,
 // then fewest happenings, then fewest requests.
 struct Counterexample {
-    World world;
-    std::vector<Ask> asks;
-    Break broken;
+    Scenario world;
+    std::vector<SimulatedRequest> asks;
+    Violation broken;
     int tried = 0;  // runs that the search took
 };
-std::optional<Counterexample> shrink(const World& world, const Fleet& fleet, const Suite& suite,
+std::optional<Counterexample> shrink(const Scenario& world, const FleetModel& fleet, const Suite& suite,
                                      std::size_t expectation);
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/world.cpp
+++ b/src/expectations/fault_scenario.cpp
@@ -1,4 +1,4 @@
-#include "expect/world.h"
+#include "expectations/fault_scenario.h"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include <random>
 #include <set>
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 namespace {
 
@@ -22,25 +22,25 @@
 }
 
 // What may be wrong with one thing: a box, or a whole school or hub at once.
-struct Fault {
+struct NamedFault {
     std::string title;
-    std::vector<Happening> happenings;
+    std::vector<FaultEvent> happenings;
     std::set<int> members;
 };
 
-Fault fault_of(const std::string& what, const std::vector<int>& members, Trouble trouble, Micros at) {
-    Fault fault{fmt::format("{} {}", what, kNames[static_cast<std::size_t>(trouble)]), {}, {}};
+NamedFault fault_of(const std::string& what, const std::vector<int>& members, FaultKind kind, Micros at) {
+    NamedFault fault{fmt::format("{} {}", what, kNames[static_cast<std::size_t>(kind)]), {}, {}};
     for (const int member : members)
-        fault.happenings.push_back({at, trouble, member}), fault.members.insert(member);
+        fault.happenings.push_back({at, kind, member}), fault.members.insert(member);
     return fault;
 }
 
 // Down before the first request and back at a third of the time.
-Fault back_of(const std::string& what, const std::vector<int>& members, Micros back) {
-    Fault fault{what + " is back cold", {}, {}};
+NamedFault back_of(const std::string& what, const std::vector<int>& members, Micros back) {
+    NamedFault fault{what + " is back cold", {}, {}};
     for (const int member : members) {
-        fault.happenings.push_back({0, Trouble::dies, member});
-        fault.happenings.push_back({back, Trouble::back_cold, member});
+        fault.happenings.push_back({0, FaultKind::dies, member});
+        fault.happenings.push_back({back, FaultKind::back_cold, member});
         fault.members.insert(member);
     }
     return fault;
@@ -48,14 +48,14 @@
 
 }  // namespace
 
-const char* name_of(Trouble trouble) {
+const char* name_of(FaultKind trouble) {
     return kNames[static_cast<std::size_t>(trouble)];
 }
 
-std::optional<Trouble> trouble_of(const std::string& name) {
+std::optional<FaultKind> fault_named(const std::string& name) {
     const auto found = std::find(kNames.begin(), kNames.end(), name);
     if (found == kNames.end()) return std::nullopt;
-    return static_cast<Trouble>(found - kNames.begin());
+    return static_cast<FaultKind>(found - kNames.begin());
 }
 
 std::string object_name(int object) {
@@ -68,37 +68,37 @@
 
 // Every fault alone at each school that it can matter to, then pairs of them, drawn by seed where they are
 // many. The title names the school too: one proxy of it is what decides.
-std::vector<World> enumerate(const Fleet& fleet, const Suite& suite) {
+std::vector<Scenario> enumerate(const FleetModel& fleet, const Suite& suite) {
     const auto length = static_cast<Micros>(suite.traffic.seconds * 1e6);
-    std::vector<Fault> faults;
+    std::vector<NamedFault> faults;
     std::vector<int> parents;
     for (std::size_t i = 0; i < fleet.members.size(); ++i) {
         const int member = static_cast<int>(i);
         const std::string& name = fleet.name(i);
         const bool parent = fleet.kind_of(i) == Kind::parent;
         if (parent) parents.push_back(member);
-        for (const Trouble trouble : {Trouble::drain, Trouble::dies, Trouble::vanishes}) {
+        for (const FaultKind trouble : {FaultKind::drain, FaultKind::dies, FaultKind::vanishes}) {
             faults.push_back(fault_of(name, {member}, trouble, 0));
             faults.push_back(fault_of(name + " midway", {member}, trouble, length / 2));
         }
         faults.push_back(back_of(name, {member}, length / 3));
-        faults.push_back(fault_of(name, {member}, Trouble::full, 0));
+        faults.push_back(fault_of(name, {member}, FaultKind::full, 0));
         if (fleet.kind_of(i) != Kind::cache)
-            faults.push_back(fault_of(name, {member}, Trouble::fails_fills, 0));
+            faults.push_back(fault_of(name, {member}, FaultKind::fails_fills, 0));
         if (fleet.kind_of(i) == Kind::cache)
-            faults.push_back(fault_of(name, {member}, Trouble::stale_report, 0));
+            faults.push_back(fault_of(name, {member}, FaultKind::stale_report, 0));
     }
     const auto whole = [&](const std::string& what, const std::vector<int>& members) {
         if (members.empty()) return;
-        faults.push_back(fault_of(what, members, Trouble::dies, length / 3));
-        faults.push_back(fault_of(what, members, Trouble::vanishes, length / 3));
-        faults.push_back(fault_of(what, members, Trouble::drain, 0));
+        faults.push_back(fault_of(what, members, FaultKind::dies, length / 3));
+        faults.push_back(fault_of(what, members, FaultKind::vanishes, length / 3));
+        faults.push_back(fault_of(what, members, FaultKind::drain, 0));
         faults.push_back(back_of(what, members, length / 3));
     };
     for (const int school : fleet.schools()) {
         std::vector<int> members;
         for (std::size_t i = 0; i < fleet.members.size(); ++i)
-            if (fleet.kind_of(i) == Kind::cache && fleet.members[i].entry.zone == school)
+            if (fleet.kind_of(i) == Kind::cache && fleet.members[i].endpoint.zone == school)
                 members.push_back(static_cast<int>(i));
         whole("school " + fleet.site.zones[school], members);
     }
@@ -108,28 +108,28 @@
             if (fleet.zone_of(static_cast<std::size_t>(parent)) == hub) members.push_back(parent);
         whole("hub " + hub, members);
     }
-    const auto matters = [&](const Fault& fault, int school) {
+    const auto matters = [&](const NamedFault& fault, int school) {
         return std::any_of(fault.members.begin(), fault.members.end(), [&](int m) {
             const auto member = static_cast<std::size_t>(m);
-            return fleet.kind_of(member) != Kind::cache || fleet.members[member].entry.zone == school;
+            return fleet.kind_of(member) != Kind::cache || fleet.members[member].endpoint.zone == school;
         });
     };
-    std::vector<World> worlds;
-    const auto add = [&](int school, std::string title, std::vector<Happening> happenings) {
-        World world;
+    std::vector<Scenario> worlds;
+    const auto add = [&](int school, std::string title, std::vector<FaultEvent> happenings) {
+        Scenario world;
         world.number = static_cast<int>(worlds.size());
         world.title = fmt::format("{}: {}", fleet.site.zones[school], title);
-        world.school = school;
+        world.zone = school;
         world.seed =
             mixed(suite.worlds.seed + static_cast<std::uint64_t>(world.number) * 0x9e3779b97f4a7c15ULL);
         std::stable_sort(happenings.begin(), happenings.end(),
-                         [](const Happening& a, const Happening& b) { return a.at < b.at; });
-        world.happenings = std::move(happenings);
+                         [](const FaultEvent& a, const FaultEvent& b) { return a.at < b.at; });
+        world.faults = std::move(happenings);
         worlds.push_back(std::move(world));
     };
     for (const int school : fleet.schools()) {
         add(school, "all up", {});
-        for (const Fault& fault : faults)
+        for (const NamedFault& fault : faults)
             if (matters(fault, school)) add(school, fault.title, fault.happenings);
     }
     // Pairs that have no member in common.
@@ -154,7 +154,7 @@
         if (!common) pairs.push_back({schools[s], a, b});
     }
     for (const Pair& pair : pairs) {
-        std::vector<Happening> both = faults[pair.a].happenings;
+        std::vector<FaultEvent> both = faults[pair.a].happenings;
         both.insert(both.end(), faults[pair.b].happenings.begin(), faults[pair.b].happenings.end());
         add(pair.school, faults[pair.a].title + " and " + faults[pair.b].title, std::move(both));
     }
@@ -162,7 +162,8 @@
     return worlds;
 }
 
-std::vector<Ask> traffic_of(const World& world, const Fleet& fleet, const Traffic& traffic) {
+std::vector<SimulatedRequest> traffic_of(const Scenario& world, const FleetModel& fleet,
+                                         const Traffic& traffic) {
     std::mt19937_64 rng(world.seed);
     // Library distributions differ from one library to the next; these draws do not.
     const auto unit = [&] { return (static_cast<double>(rng() >> 11) + 0.5) / 9007199254740992.0; };
@@ -175,23 +176,24 @@
     for (const double part : traffic.mix) classes.push_back(total += part);
     total = 0;
     for (int i = 1; i <= traffic.objects; ++i) objects.push_back(total += std::pow(i, -traffic.zipf));
-    std::vector<Ask> asks;
+    std::vector<SimulatedRequest> asks;
     double at = 0;
     for (int number = 1;; ++number) {
         at += -std::log(unit()) / traffic.per_s;
         if (at >= traffic.seconds) return asks;
-        Ask ask;
+        SimulatedRequest ask;
         ask.at = static_cast<Micros>(at * 1e6);
         ask.number = number;
-        ask.service = pick(classes);
+        ask.class_index = pick(classes);
         ask.object = pick(objects);
         // Sizes vary widely, and a part keeps its size.
         const auto size =
-            mixed(static_cast<std::uint64_t>(ask.object) * 31 + static_cast<std::uint64_t>(ask.service));
-        ask.size_kb = traffic.size_kb[ask.service] * (0.25 + 1.5 * static_cast<double>(size % 1000) / 1000);
-        if (fleet.site.settings.classes[ask.service].uncached) ask.object = number;  // each its own
+            mixed(static_cast<std::uint64_t>(ask.object) * 31 + static_cast<std::uint64_t>(ask.class_index));
+        ask.size_kb =
+            traffic.size_kb[ask.class_index] * (0.25 + 1.5 * static_cast<double>(size % 1000) / 1000);
+        if (fleet.site.settings.classes[ask.class_index].uncacheable) ask.object = number;  // each its own
         asks.push_back(ask);
     }
 }
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/world.h
+++ b/src/expectations/fault_scenario.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "expect/language.h"
+#include "expectations/parser.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
-enum class Trouble {
+enum class FaultKind {
     drain,        // told at `at`; it goes on answering
     dies,         // from `at` on connections are refused; told gone 2 s later
     vanishes,     // from `at` on it says nothing; told gone 2 s later
@@ -19,41 +19,42 @@
     full,         // answers 'full'
     stale_report  // reports a load that is long over: full, though it is idle
 };
-const char* name_of(Trouble trouble);
-std::optional<Trouble> trouble_of(const std::string& name);
+const char* name_of(FaultKind trouble);
+std::optional<FaultKind> fault_named(const std::string& name);
 
-struct Happening {
+struct FaultEvent {
     Micros at = 0;  // from the world's start
-    Trouble trouble = Trouble::drain;
+    FaultKind fault = FaultKind::drain;
     int member = -1;
 
-    bool operator==(const Happening&) const = default;
+    bool operator==(const FaultEvent&) const = default;
 };
 
-struct Ask {
+struct SimulatedRequest {
     Micros at = 0;  // from the world's start
     int number = 0;
-    int service = 0;
+    int class_index = 0;
     int object = 0;
     int part = 0;
     double size_kb = 0;
 
-    bool operator==(const Ask&) const = default;
+    bool operator==(const SimulatedRequest&) const = default;
 };
 // As the proxy is asked for it; `group` is its group of 256.
 std::string object_name(int object);
 int group_of(int object);
 
-struct World {
+struct Scenario {
     int number = 0;
     std::string title;       // "all up", "s-1 dies", …
-    int school = 0;          // zone of the proxy
+    int zone = 0;            // zone of the proxy
     std::uint64_t seed = 0;  // of the router and the traffic
-    std::vector<Happening> happenings;
+    std::vector<FaultEvent> faults;
 };
 
-std::vector<World> enumerate(const Fleet& fleet, const Suite& suite);
+std::vector<Scenario> enumerate(const FleetModel& fleet, const Suite& suite);
 // The requests of a world, in order of time.
-std::vector<Ask> traffic_of(const World& world, const Fleet& fleet, const Traffic& traffic);
+std::vector<SimulatedRequest> traffic_of(const Scenario& world, const FleetModel& fleet,
+                                         const Traffic& traffic);
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/compare.cpp
+++ b/src/expectations/fleet_diff.cpp
@@ -1,10 +1,10 @@
-#include "expect/compare.h"
+#include "expectations/fleet_diff.h"
 
 #include <algorithm>
 #include <map>
 #include <set>
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 namespace {
 
@@ -15,28 +15,30 @@
 };
 
 // The first attempt of each request.
-class FirstChoices : public Watcher {
+class FirstChoices : public SimulationObserver {
   public:
-    explicit FirstChoices(const Fleet& fleet) : fleet_(fleet) {}
-    void decided(const Ask& ask, const Decision& made, const std::vector<ToldState>&) override {
+    explicit FirstChoices(const FleetModel& fleet) : fleet_(fleet) {}
+    void on_decision(const SimulatedRequest& ask, const Decision& made,
+                     const std::vector<NotifiedStateSince>&) override {
         if (made.attempt > 0) return;
         went[ask.number] = {made.target < 0 ? "" : fleet_.name(made.target),
                             made.source < 0 ? "" : fleet_.name(made.source)};
     }
-    void ended(const Ask&, const RequestEnd&, const std::vector<ToldState>&) override {}
+    void on_request_finished(const SimulatedRequest&, const RequestResult&,
+                             const std::vector<NotifiedStateSince>&) override {}
     std::map<int, Went> went;
 
   private:
-    const Fleet& fleet_;
+    const FleetModel& fleet_;
 };
 
-std::set<std::string> school_names(const Fleet& fleet) {
+std::set<std::string> school_names(const FleetModel& fleet) {
     std::set<std::string> names;
     for (const int zone : fleet.schools()) names.insert(fleet.site.zones[zone]);
     return names;
 }
 
-int zone_named(const Fleet& fleet, const std::string& name) {
+int zone_named(const FleetModel& fleet, const std::string& name) {
     const auto& zones = fleet.site.zones;
     return static_cast<int>(std::find(zones.begin(), zones.end(), name) - zones.begin());
 }
@@ -48,8 +50,9 @@
 
 }  // namespace
 
-Difference compare(const Fleet& before, const Fleet& after, const Traffic& traffic, std::uint64_t seed) {
-    Difference difference;
+FleetDiff compare(const FleetModel& before, const FleetModel& after, const Traffic& traffic,
+                  std::uint64_t seed) {
+    FleetDiff difference;
     const auto old_schools = school_names(before), new_schools = school_names(after);
     only_in(old_schools, new_schools, difference.only_old);
     only_in(new_schools, old_schools, difference.only_new);
@@ -60,26 +63,26 @@
     only_in(new_members, old_members, difference.only_new);
     for (const std::string& school : old_schools) {
         if (!new_schools.contains(school)) continue;
-        World world;
-        world.school = zone_named(before, school);
+        Scenario world;
+        world.zone = zone_named(before, school);
         world.seed = seed;
-        const std::vector<Ask> asks = traffic_of(world, before, traffic);
+        const std::vector<SimulatedRequest> asks = traffic_of(world, before, traffic);
         FirstChoices old_choices(before), new_choices(after);
-        play(world, before, asks, old_choices);
-        world.school = zone_named(after, school);
-        play(world, after, asks, new_choices);
-        std::map<int, Moved> by_service;
+        simulate(world, before, asks, old_choices);
+        world.zone = zone_named(after, school);
+        simulate(world, after, asks, new_choices);
+        std::map<int, RoutingShift> by_service;
         std::map<std::pair<int, int>, bool> homes;  // the first request for each part tells its home
-        for (const Ask& ask : asks) {
+        for (const SimulatedRequest& ask : asks) {
             const auto was = old_choices.went.find(ask.number), is = new_choices.went.find(ask.number);
             if (was == old_choices.went.end() || is == new_choices.went.end()) continue;
-            Moved& moved = by_service[ask.service];
+            RoutingShift& moved = by_service[ask.class_index];
             ++moved.requests;
             const bool other = was->second.target != is->second.target;
             moved.to_other_box += other;
             moved.from_other_source += was->second.source != is->second.source;
-            if (!before.site.settings.classes[ask.service].uncached &&
-                homes.emplace(std::pair(ask.service, ask.object), other).second)
+            if (!before.site.settings.classes[ask.class_index].uncacheable &&
+                homes.emplace(std::pair(ask.class_index, ask.object), other).second)
                 ++moved.objects, moved.homes_moved += other;
         }
         for (auto& [service, moved] : by_service) {
@@ -94,4 +97,4 @@
     return difference;
 }
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/compare.h
+++ b/src/expectations/fleet_diff.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "expect/judge.h"
+#include "expectations/evaluator.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
-struct Moved {
+struct RoutingShift {
     std::string school, service;
     std::uint64_t requests = 0, to_other_box = 0, from_other_source = 0;
     std::uint64_t objects = 0, homes_moved = 0;  // parts asked for, and those whose first box is another one
@@ -17,10 +17,11 @@
 };
 
 // Both with all members up and the same requests. Schools that only one of them has are left out and named.
-struct Difference {
-    std::vector<Moved> moved;
+struct FleetDiff {
+    std::vector<RoutingShift> moved;
     std::vector<std::string> only_old, only_new;  // schools, then members, by name
 };
-Difference compare(const Fleet& before, const Fleet& after, const Traffic& traffic, std::uint64_t seed);
+FleetDiff compare(const FleetModel& before, const FleetModel& after, const Traffic& traffic,
+                  std::uint64_t seed);
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/fleet.h
+++ b/src/expectations/fleet_model.h
@@ -8,20 +8,20 @@
 #include "base/time.h"
 #include "config/config.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 using base::Micros;
 
 enum class Kind { cache, parent, origin };
 const char* name_of(Kind kind);
 
-struct Fleet {
+struct FleetModel {
     std::string settings_text;  // the platform's "settings" as JSON, for a counterexample that stands alone
     config::Site site;
-    std::vector<config::Placed> members;  // in order of name
+    std::vector<config::LocatedEndpoint> members;  // in order of name
 
     Kind kind_of(std::size_t member) const;
-    const std::string& name(std::size_t member) const { return members[member].entry.cache; }
+    const std::string& name(std::size_t member) const { return members[member].endpoint.name; }
     // -1: no member of that name.
     int find(const std::string& name) const;
     std::string zone_of(std::size_t member) const;
@@ -33,17 +33,17 @@
 
 // Takes the list as the change log would leave it: later events over earlier ones, those gone left out.
 // Throws config::ConfigError where no member is left or settings name none of the roles.
-Fleet make_fleet(std::string settings_text, const std::vector<config::Change>& changes);
+FleetModel make_fleet(std::string settings_text, const std::vector<config::WatchEvent>& changes);
 
 // Members by any of the names given in each list; lists that are given must all match. None given: all
 // members.
-struct Group {
-    std::vector<std::string> boxes, schools, hubs, kinds;
+struct MemberSelector {
+    std::vector<std::string> names, zones, regions, kinds;
 
-    bool matches(const Fleet& fleet, std::size_t member) const;
-    std::vector<bool> members(const Fleet& fleet) const;
+    bool matches(const FleetModel& fleet, std::size_t member) const;
+    std::vector<bool> members(const FleetModel& fleet) const;
     std::string text() const;
-    bool operator==(const Group&) const = default;
+    bool operator==(const MemberSelector&) const = default;
 };
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
