--- a/src/expect/language.cpp
+++ b/src/expectations/parser.cpp
@@ -1,4 +1,4 @@
-#include "expect/language.h"
+#include "expectations/parser.h"
 
 #include <fmt/format.h>
 
@@ -10,10 +10,10 @@
 #include <set>
 #include <utility>
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 using config::Node;
-using config::Place;
+using config::SourceLocation;
 
 namespace {
 
@@ -44,21 +44,22 @@
 
 constexpr std::array<const char*, 4> kTold{"up", "cold", "draining", "gone"};
 
-class Reader : public config::Gathered {
+class Reader : public config::ValidationErrorCollector {
   public:
-    Reader(std::string file, const Fleet& fleet) : Gathered(std::move(file)), fleet_(fleet) {}
+    Reader(std::string file, const FleetModel& fleet)
+        : ValidationErrorCollector(std::move(file)), fleet_(fleet) {}
 
     const Node::Table* table(const Node& node, const std::string& what) {
         const auto found = std::get_if<Node::Table>(&node.value);
         if (!found)
-            complain(node.place, fmt::format("{}: a table is wanted, this is {}", what, name_of_type(node)));
+            add(node.place, fmt::format("{}: a table is wanted, this is {}", what, name_of_type(node)));
         return found;
     }
     std::string text(const Node& node, const std::string& what) {
         const auto found = std::get_if<std::string>(&node.value);
         if (!found || found->empty())
-            complain(node.place, fmt::format("{}: a string is wanted, this is {}", what,
-                                             found ? "an empty one" : name_of_type(node)));
+            add(node.place, fmt::format("{}: a string is wanted, this is {}", what,
+                                        found ? "an empty one" : name_of_type(node)));
         return found ? *found : "";
     }
     double number(const Node& node, const std::string& what, double least, double most) {
@@ -66,7 +67,7 @@
         const auto real = std::get_if<double>(&node.value);
         const double value = whole ? static_cast<double>(*whole) : real ? *real : NAN;
         if (!(value >= least && value <= most))
-            complain(node.place, fmt::format("{}: a number from {} to {} is wanted", what, least, most));
+            add(node.place, fmt::format("{}: a number from {} to {} is wanted", what, least, most));
         return value >= least && value <= most ? value : least;
     }
     // One string or a list of them.
@@ -75,7 +76,7 @@
         if (!list) return {text(node, what)};
         std::vector<std::string> all;
         for (const Node& item : *list) all.push_back(text(item, what));
-        if (all.empty()) complain(node.place, what + ": an empty list says nothing");
+        if (all.empty()) add(node.place, what + ": an empty list says nothing");
         return all;
     }
     // The names given, each of which has to be known.
@@ -84,7 +85,7 @@
         std::vector<std::string> all;
         for (const std::string& name : texts(node, what)) {
             if (std::find(names.begin(), names.end(), name) == names.end())
-                complain(node.place, fmt::format("no {} '{}' in this fleet", what, name));
+                add(node.place, fmt::format("no {} '{}' in this fleet", what, name));
             else
                 all.push_back(name);
         }
@@ -92,17 +93,17 @@
     }
 
     // Keys of a group; what else the table holds is left to the caller.
-    bool group_key(const std::string& key, const Node& node, Group& group) {
-        if (key == "box") return group.boxes = known(node, "box", member_names()), true;
-        if (key == "school") return group.schools = known(node, "school", school_names()), true;
-        if (key == "hub") return group.hubs = known(node, "hub", fleet_.hubs()), true;
+    bool group_key(const std::string& key, const Node& node, MemberSelector& group) {
+        if (key == "box") return group.names = known(node, "box", member_names()), true;
+        if (key == "school") return group.zones = known(node, "school", school_names()), true;
+        if (key == "hub") return group.regions = known(node, "hub", fleet_.hubs()), true;
         if (key == "kind") return group.kinds = known(node, "kind", {"cache", "parent", "origin"}), true;
         return false;
     }
-    void need_members(const Group& group, Place at) {
+    void need_members(const MemberSelector& group, SourceLocation at) {
         const auto members = group.members(fleet_);
         if (std::none_of(members.begin(), members.end(), [](bool in) { return in; }))
-            complain(at, fmt::format("{}: no member of this fleet, so this can never apply", group.text()));
+            add(at, fmt::format("{}: no member of this fleet, so this can never apply", group.text()));
     }
 
     std::optional<Condition> condition(const Node& node) {
@@ -113,20 +114,20 @@
         for (const auto& [key, value] : *items) {
             if (group_key(key, value, condition.group)) continue;
             if (key != "all" && key != "some") {
-                complain(value.key_place, fmt::format("while: no such key '{}'", key));
+                add(value.key_place, fmt::format("while: no such key '{}'", key));
                 continue;
             }
-            if (std::exchange(said, true)) complain(value.key_place, "while: either all or some, not both");
+            if (std::exchange(said, true)) add(value.key_place, "while: either all or some, not both");
             condition.all = key == "all";
             const std::string word = text(value, "while." + key);
             const auto found = std::find(kTold.begin(), kTold.end(), word);
             if (found == kTold.end())
-                complain(value.place,
-                         fmt::format("while.{}: '{}' is none of up, cold, draining, gone", key, word));
+                add(value.place,
+                    fmt::format("while.{}: '{}' is none of up, cold, draining, gone", key, word));
             else
-                condition.is = static_cast<Told>(found - kTold.begin());
+                condition.is = static_cast<NotifiedState>(found - kTold.begin());
         }
-        if (!said) complain(node.place, "while: says nothing; all = \"up\" or some = \"gone\" is wanted");
+        if (!said) add(node.place, "while: says nothing; all = \"up\" or some = \"gone\" is wanted");
         need_members(condition.group, node.place);
         return condition;
     }
@@ -136,7 +137,7 @@
         using Value = RuleForm::Value;
         if (form.value == Value::flag) {
             const auto on = std::get_if<bool>(&node.value);
-            if (!on || !*on) complain(node.place, fmt::format("{} = true is wanted", form.name));
+            if (!on || !*on) add(node.place, fmt::format("{} = true is wanted", form.name));
             return;
         }
         if (form.value == Value::number && !std::holds_alternative<Node::Table>(node.value)) {
@@ -156,13 +157,13 @@
             else if (limit == std::string_view("share") && key == "confidence")
                 into.confidence = number(value, std::string(form.name) + '.' + key, 0.5, 0.999999);
             else
-                complain(value.key_place, fmt::format("{}: no such key '{}'", form.name, key));
+                add(value.key_place, fmt::format("{}: no such key '{}'", form.name, key));
         }
         if (form.value != Value::group && !has_limit)
-            complain(node.place, fmt::format("{}: {} is missing", form.name, limit));
+            add(node.place, fmt::format("{}: {} is missing", form.name, limit));
         if (form.value != Value::number) need_members(into.group, node.place);
-        if (form.value != Value::number && into.group == Group{})
-            complain(node.place, fmt::format("{}: names no box, school, hub or kind", form.name));
+        if (form.value != Value::number && into.group == MemberSelector{})
+            add(node.place, fmt::format("{}: names no box, school, hub or kind", form.name));
     }
 
     Expectation expectation(const Node& node) {
@@ -185,8 +186,7 @@
             const auto form =
                 std::find_if(kRules.begin(), kRules.end(), [&](const RuleForm& f) { return key == f.name; });
             if (form != kRules.end()) {
-                if (++rules > 1)
-                    complain(value.key_place, "one expectation has one rule; this is a second one");
+                if (++rules > 1) add(value.key_place, "one expectation has one rule; this is a second one");
                 rule(*form, value, one);
             } else if (key == "name") {
                 one.name = text(value, key);
@@ -207,50 +207,50 @@
                 for (const Node& item : list ? *list : Node::List{value})
                     if (auto found = condition(item)) one.conditions.push_back(std::move(*found));
             } else {
-                complain(value.key_place, fmt::format("no such key '{}' and no such rule", key));
+                add(value.key_place, fmt::format("no such key '{}' and no such rule", key));
             }
         }
-        if (rules == 0) complain(node.place, "no rule");
-        if (one.name.empty() && !items->contains("name")) complain(node.place, "name is missing");
-        if (one.reason.empty() && !items->contains("reason")) complain(node.place, "reason is missing");
+        if (rules == 0) add(node.place, "no rule");
+        if (one.name.empty() && !items->contains("name")) add(node.place, "name is missing");
+        if (one.reason.empty() && !items->contains("reason")) add(node.place, "reason is missing");
         return one;
     }
 
     // What can be seen without running anything.
     void look_through(const std::vector<Expectation>& all) {
-        std::map<std::string, Place> names;
+        std::map<std::string, SourceLocation> names;
         for (const Expectation& one : all) {
             if (!one.name.empty() && !names.emplace(one.name, one.place).second)
-                complain(one.place, fmt::format("the name '{}' is taken", one.name));
+                add(one.place, fmt::format("the name '{}' is taken", one.name));
             if (one.rule == Rule::never_twice) {
-                const bool any =
-                    std::any_of(fleet_.site.settings.classes.begin(), fleet_.site.settings.classes.end(),
-                                [](const auto& c) { return c.semantics != nettlethread::Semantics::safe; });
+                const bool any = std::any_of(
+                    fleet_.site.settings.classes.begin(), fleet_.site.settings.classes.end(),
+                    [](const auto& c) { return c.retry_safety != routing::RetrySafety::idempotent; });
                 const bool named = std::any_of(one.classes.begin(), one.classes.end(), [&](int c) {
-                    return fleet_.site.settings.classes[c].semantics != nettlethread::Semantics::safe;
+                    return fleet_.site.settings.classes[c].retry_safety != routing::RetrySafety::idempotent;
                 });
                 if (!any || (!one.classes.empty() && !named))
-                    complain(one.place,
-                             "never_twice: only of classes that are safe to repeat, so it can never apply");
+                    add(one.place,
+                        "never_twice: only of classes that are safe to repeat, so it can never apply");
             }
             if ((one.rule == Rule::never_fills_from || one.rule == Rule::fills_from) &&
                 !one.group.kinds.empty() &&
                 std::all_of(one.group.kinds.begin(), one.group.kinds.end(),
                             [](const auto& k) { return k == "cache"; }) &&
-                fleet_.site.settings.neighbours == nettlethread::Neighbours::none &&
+                fleet_.site.settings.sibling_fill == routing::SiblingFill::none &&
                 one.rule == Rule::fills_from)
-                complain(one.place, "fills_from: caches fill no other caches in this fleet");
+                add(one.place, "fills_from: caches fill no other caches in this fleet");
             for (std::size_t a = 0; a < one.conditions.size(); ++a)
                 for (std::size_t b = a + 1; b < one.conditions.size(); ++b)
                     if (one.conditions[a].group == one.conditions[b].group && one.conditions[a].all &&
                         one.conditions[b].all && one.conditions[a].is != one.conditions[b].is)
-                        complain(one.place, "its conditions exclude each other, so it can never apply");
+                        add(one.place, "its conditions exclude each other, so it can never apply");
         }
         for (std::size_t a = 0; a < all.size(); ++a)
             for (std::size_t b = a + 1; b < all.size(); ++b)
                 if (contradict(all[a], all[b]))
-                    complain(all[b].place, fmt::format("'{}' contradicts '{}' of line {}", all[b].name,
-                                                       all[a].name, all[a].place.line));
+                    add(all[b].place, fmt::format("'{}' contradicts '{}' of line {}", all[b].name,
+                                                  all[a].name, all[a].place.line));
     }
 
   private:
@@ -313,7 +313,7 @@
         return false;
     }
 
-    const Fleet& fleet_;
+    const FleetModel& fleet_;
 };
 
 }  // namespace
@@ -322,7 +322,7 @@
     return form_of(rule).name;
 }
 
-const char* name_of(Told told) {
+const char* name_of(NotifiedState told) {
     return kTold[static_cast<std::size_t>(told)];
 }
 
@@ -373,19 +373,18 @@
     return words;
 }
 
-Suite read_suite(const Node& root, const std::string& file, const Fleet& fleet) {
+Suite read_suite(const Node& root, const std::string& file, const FleetModel& fleet) {
     Suite suite;
     Reader reader(file, fleet);
     const Node::Table& top = std::get<Node::Table>(root.value);
     suite.traffic.mix.assign(fleet.site.classes.size(), 1.0);
     for (const auto& service : fleet.site.settings.classes)
-        suite.traffic.size_kb.push_back(fleet.site.settings.pace_kb_per_s * static_cast<double>(service.aim) /
-                                        3e6);
+        suite.traffic.size_kb.push_back(fleet.site.settings.transfer_rate_kb_per_s *
+                                        static_cast<double>(service.latency_objective) / 3e6);
     for (const auto& [key, node] : top) {
         if (key == "expect") {
             const auto list = std::get_if<Node::List>(&node.value);
-            if (!list)
-                reader.complain(node.place, "expect: [[expect]] is wanted, a table for each expectation");
+            if (!list) reader.add(node.place, "expect: [[expect]] is wanted, a table for each expectation");
             for (const Node& item : list ? *list : Node::List{})
                 suite.expectations.push_back(reader.expectation(item));
         } else if (key == "traffic") {
@@ -407,16 +406,16 @@
                         const auto found =
                             std::find(fleet.site.classes.begin(), fleet.site.classes.end(), service);
                         if (found == fleet.site.classes.end())
-                            reader.complain(part.key_place,
-                                            fmt::format("{}: no class '{}' in this fleet", name, service));
+                            reader.add(part.key_place,
+                                       fmt::format("{}: no class '{}' in this fleet", name, service));
                         else
                             into[found - fleet.site.classes.begin()] = reader.number(part, name, 0, 1e6);
                     }
                     if (name == "mix" &&
                         std::all_of(into.begin(), into.end(), [](double part) { return part <= 0; }))
-                        reader.complain(value.place, "mix: nothing is asked for");
+                        reader.add(value.place, "mix: nothing is asked for");
                 } else {
-                    reader.complain(value.key_place, fmt::format("traffic: no such key '{}'", name));
+                    reader.add(value.key_place, fmt::format("traffic: no such key '{}'", name));
                 }
             }
         } else if (key == "worlds") {
@@ -429,17 +428,17 @@
                 else if (name == "seed")
                     suite.worlds.seed = static_cast<std::uint64_t>(reader.number(value, name, 0, 1e15));
                 else
-                    reader.complain(value.key_place, fmt::format("worlds: no such key '{}'", name));
+                    reader.add(value.key_place, fmt::format("worlds: no such key '{}'", name));
             }
         } else {
-            reader.complain(node.key_place,
-                            fmt::format("no such key '{}'; expect, traffic and worlds are read", key));
+            reader.add(node.key_place,
+                       fmt::format("no such key '{}'; expect, traffic and worlds are read", key));
         }
     }
-    if (suite.expectations.empty()) reader.complain({1, 1}, "not a single expectation");
+    if (suite.expectations.empty()) reader.add({1, 1}, "not a single expectation");
     reader.look_through(suite.expectations);
-    reader.finish();
+    reader.throw_if_any();
     return suite;
 }
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/language.h
+++ b/src/expectations/parser.h
@@ -18,9 +18,9 @@
 #include <vector>
 
 #include "config/keys.h"
-#include "expect/fleet.h"
+#include "expectations/fleet_model.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 enum class Rule {
     never_fills_from,   // no attempt names one of the group as the source of a fill
@@ -38,27 +38,27 @@
 const char* name_of(Rule rule);
 
 // The state of a member as the proxy was told it.
-enum class Told { up, cold, draining, gone };
-const char* name_of(Told told);
+enum class NotifiedState { up, cold, draining, gone };
+const char* name_of(NotifiedState told);
 
 struct Condition {
-    Group group;
+    MemberSelector group;
     bool all = true;  // else: some
-    Told is = Told::up;
+    NotifiedState is = NotifiedState::up;
 
     bool operator==(const Condition&) const = default;
 };
 
 struct Expectation {
     std::string name, reason;
-    config::Place place;
+    config::SourceLocation place;
     config::Node source;  // as it was read
     Rule rule = Rule::never_twice;
     std::vector<int> classes;  // places in Site::classes; empty: all
     std::vector<int> schools;  // zones; empty: all
     std::string object;        // pattern; empty: any
     int group_number = -1;     // of the object; -1: any
-    Group group;               // what the rule speaks of
+    MemberSelector group;      // what the rule speaks of
     double limit = 0;          // share, ms, attempts, rank or seconds
     double confidence = 0.99;  // of shares
     std::vector<Condition> conditions;
@@ -78,7 +78,7 @@
 };
 
 // What is tried. Pairs of troubles are drawn by seed where there are more than `most_pairs`.
-struct Worlds {
+struct ScenarioLimits {
     int most_pairs = 60;
     int most = 2000;
     std::uint64_t seed = 1;
@@ -87,14 +87,14 @@
 struct Suite {
     std::vector<Expectation> expectations;
     Traffic traffic;
-    Worlds worlds;
+    ScenarioLimits worlds;
 };
 
 // Complains, with file, line and column, of what can't be read, of names that the fleet does not have, of
 // expectations that can never apply and of two that contradict each other. Throws config::Complaints.
-Suite read_suite(const config::Node& root, const std::string& file, const Fleet& fleet);
+Suite read_suite(const config::Node& root, const std::string& file, const FleetModel& fleet);
 
 // "a*c?" against a whole text.
 bool matches_pattern(std::string_view pattern, std::string_view text);
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/drive.cpp
+++ b/src/expectations/simulation.cpp
@@ -1,4 +1,4 @@
-#include "expect/drive.h"
+#include "expectations/simulation.h"
 
 #include <fmt/format.h>
 
@@ -8,11 +8,11 @@
 #include <set>
 #include <unordered_map>
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
-using nettlethread::CacheState;
-using nettlethread::Note;
-using nettlethread::Verdict;
+using routing::AttemptStatus;
+using routing::CacheStatus;
+using routing::EndpointState;
 
 namespace {
 
@@ -33,7 +33,7 @@
 };
 
 struct Open {
-    const Ask* ask = nullptr;
+    const SimulatedRequest* ask = nullptr;
     int attempts = 0;
     bool may_have_run = false;
     Micros deadline = 0;
@@ -44,7 +44,8 @@
 
 class Run {
   public:
-    Run(const World& world, const Fleet& fleet, const std::vector<Ask>& asks, Watcher& watcher)
+    Run(const Scenario& world, const FleetModel& fleet, const std::vector<SimulatedRequest>& asks,
+        SimulationObserver& watcher)
         : world_(world),
           fleet_(fleet),
           asks_(asks),
@@ -57,17 +58,17 @@
     }
 
     void go() {
-        std::vector<nettlethread::CacheEntry> entries;
+        std::vector<routing::Endpoint> entries;
         for (std::size_t i = 0; i < fleet_.members.size(); ++i) {
-            nettlethread::CacheEntry entry = fleet_.members[i].entry;
-            entry.since = 0;
-            told_[i].told = entry.state == CacheState::ready ? Told::up : Told::draining;
+            routing::Endpoint entry = fleet_.members[i].endpoint;
+            entry.started_at = 0;
+            told_[i].told = entry.state == EndpointState::ready ? NotifiedState::up : NotifiedState::draining;
             entries.push_back(entry);
         }
-        for (const Happening& one : world_.happenings) at(one.at, [this, &one] { happen(one); });
-        feed(nettlethread::ListNews{1, nettlethread::ListKind::full, std::move(entries)},
+        for (const FaultEvent& one : world_.faults) at(one.at, [this, &one] { happen(one); });
+        feed(routing::EndpointUpdate{1, routing::EndpointUpdateKind::full, std::move(entries)},
              [] { return "list: the whole fleet"; });
-        for (const Ask& ask : asks_) at(ask.at, [this, &ask] { arrive(ask); });
+        for (const SimulatedRequest& ask : asks_) at(ask.at, [this, &ask] { arrive(ask); });
         // The last requests are followed to their end, and no further.
         while (!due_.empty() && !watcher_.enough()) {
             if (open_.empty() && arrived_ == asks_.size()) break;
@@ -88,9 +89,9 @@
         }
     };
 
-    static nettlethread::Settings settings_of(const Fleet& fleet, const World& world) {
-        nettlethread::Settings settings = fleet.site.settings;
-        settings.my_zone = world.school;
+    static routing::Settings settings_of(const FleetModel& fleet, const Scenario& world) {
+        routing::Settings settings = fleet.site.settings;
+        settings.own_zone = world.zone;
         return settings;
     }
 
@@ -105,66 +106,68 @@
 
     // `words` is only called where somebody reads them.
     template <typename Words>
-    void feed(const nettlethread::Event& event, const Words& words) {
+    void feed(const routing::Event& event, const Words& words) {
         say([&] { return "in   " + std::string(words()); });
-        std::vector<nettlethread::Action> actions;
+        std::vector<routing::Action> actions;
         router_.handle(kBegin + now_, event, actions);
-        for (const nettlethread::Action& action : actions)
+        for (const routing::Action& action : actions)
             std::visit([this](const auto& a) { carry_out(a); }, action);
     }
 
     // ---- what goes wrong ----
-    void tell(int member, Told told, Micros since_start = 0) {
-        nettlethread::CacheEntry entry = fleet_.members[member].entry;
-        entry.state = told == Told::gone       ? CacheState::gone
-                      : told == Told::draining ? CacheState::draining
-                                               : CacheState::ready;
-        entry.since = since_start;
+    void tell(int member, NotifiedState told, Micros since_start = 0) {
+        routing::Endpoint entry = fleet_.members[member].endpoint;
+        entry.state = told == NotifiedState::gone       ? EndpointState::removed
+                      : told == NotifiedState::draining ? EndpointState::draining
+                                                        : EndpointState::ready;
+        entry.started_at = since_start;
         told_[member] = {told, now_};
-        feed(nettlethread::ListNews{2, nettlethread::ListKind::changes, {entry}},
-             [&] { return fmt::format("list: {} is {}", entry.cache, name_of(told)); });
+        feed(routing::EndpointUpdate{2, routing::EndpointUpdateKind::incremental, {entry}},
+             [&] { return fmt::format("list: {} is {}", entry.name, name_of(told)); });
     }
 
-    void happen(const Happening& one) {
+    void happen(const FaultEvent& one) {
         MemberState& member = members_[one.member];
-        const bool tells = one.trouble == Trouble::drain || one.trouble == Trouble::back_cold;
+        const bool tells = one.fault == FaultKind::drain || one.fault == FaultKind::back_cold;
         if (!tells)
-            say([&] { return fmt::format("     {} {}", fleet_.name(one.member), name_of(one.trouble)); });
-        switch (one.trouble) {
-            case Trouble::drain:
-                return tell(one.member, Told::draining);
-            case Trouble::dies:
-            case Trouble::vanishes:
-                member.refuses = one.trouble == Trouble::dies;
-                member.silent = one.trouble == Trouble::vanishes;
+            say([&] { return fmt::format("     {} {}", fleet_.name(one.member), name_of(one.fault)); });
+        switch (one.fault) {
+            case FaultKind::drain:
+                return tell(one.member, NotifiedState::draining);
+            case FaultKind::dies:
+            case FaultKind::vanishes:
+                member.refuses = one.fault == FaultKind::dies;
+                member.silent = one.fault == FaultKind::vanishes;
                 member.holds.clear();
                 if (member.refuses) break_off(one.member);
                 ++deaths_[one.member];
                 return at(now_ + kToldLate, [this, who = one.member, death = deaths_[one.member]] {
-                    if (deaths_[who] == death) tell(who, Told::gone);
+                    if (deaths_[who] == death) tell(who, NotifiedState::gone);
                 });
-            case Trouble::back_cold:
+            case FaultKind::back_cold:
                 member = MemberState{};
                 member.cold_since = now_;
                 ++deaths_[one.member];
                 at(now_ + warm_time(one.member), [this, who = one.member, life = deaths_[one.member]] {
-                    if (deaths_[who] == life && told_[who].told == Told::cold) told_[who] = {Told::up, now_};
+                    if (deaths_[who] == life && told_[who].told == NotifiedState::cold)
+                        told_[who] = {NotifiedState::up, now_};
                 });
-                return tell(one.member, Told::cold, kBegin + now_);
-            case Trouble::fails_fills:
+                return tell(one.member, NotifiedState::cold, kBegin + now_);
+            case FaultKind::fails_fills:
                 member.fails_fills = true;
                 return;
-            case Trouble::full:
+            case FaultKind::full:
                 member.full = true;
                 return;
-            case Trouble::stale_report:
+            case FaultKind::stale_report:
                 member.stale = true;
                 return;
         }
     }
 
     Micros warm_time(int member) const {
-        return fleet_.kind_of(member) == Kind::parent ? settings_.parent_ramp : settings_.warm_after;
+        return fleet_.kind_of(member) == Kind::parent ? settings_.parent_slow_start
+                                                      : settings_.warm_up_duration;
     }
 
     // A process that dies resets what is open on its connections.
@@ -173,134 +176,141 @@
         for (const auto& [id, open] : open_)
             for (const auto& [attempt, where] : open.out)
                 if (where.first == member) lost.emplace_back(id, attempt);
-        for (const auto& [id, attempt] : lost)
-            at(now_, [this, id, attempt] { land(id, attempt, Verdict::broken_off, Note::none, 0); });
+        for (const auto& each : lost)
+            at(now_, [this, id = each.first, attempt = each.second] {
+                land(id, attempt, AttemptStatus::connection_reset, CacheStatus::unknown, 0);
+            });
     }
 
     // ---- requests ----
-    void arrive(const Ask& ask) {
+    void arrive(const SimulatedRequest& ask) {
         ++arrived_;
-        const auto& service = settings_.classes[ask.service];
-        nettlethread::Arrival arrival;
+        const auto& service = settings_.classes[ask.class_index];
+        routing::RequestReceived arrival;
         arrival.id = std::to_string(ask.number);
-        arrival.service = ask.service;
+        arrival.class_index = ask.class_index;
         arrival.object = object_name(ask.object);  // also of what is not kept: without one no source is named
-        arrival.group = group_of(ask.object);
+        arrival.purge_group = group_of(ask.object);
         arrival.part = ask.part;
         arrival.size_kb = ask.size_kb;
-        arrival.grace = service.give_up;
-        arrival.write = service.uncached;
+        arrival.time_left = service.deadline;
+        arrival.write = service.uncacheable;
         Open& open = open_[arrival.id];
         open.ask = &ask;
-        open.deadline = now_ + service.give_up;
+        open.deadline = now_ + service.deadline;
         at(open.deadline, [this, id = arrival.id] { give_up(id); });
         feed(arrival, [&] {
-            return fmt::format("request {}: {} of object {}", ask.number, fleet_.site.classes[ask.service],
-                               arrival.object);
+            return fmt::format("request {}: {} of object {}", ask.number,
+                               fleet_.site.classes[ask.class_index], arrival.object);
         });
     }
 
-    void finish(const std::string& id, Ended how) {
+    void finish(const std::string& id, RequestOutcome how) {
         const auto found = open_.find(id);
         if (found == open_.end()) return;
         const Open open = std::move(found->second);
         open_.erase(found);
-        watcher_.ended(*open.ask, {open.ask->number, how, open.attempts, now_ - open.ask->at}, told_);
+        watcher_.on_request_finished(*open.ask, {open.ask->number, how, open.attempts, now_ - open.ask->at},
+                                     told_);
     }
 
     void give_up(const std::string& id) {
         if (!open_.contains(id)) return;
-        finish(id, Ended::unanswered);
-        feed(nettlethread::ClientLeft{id}, [&] { return fmt::format("request {}: its client left", id); });
+        finish(id, RequestOutcome::unanswered);
+        feed(routing::ClientCancelled{id}, [&] { return fmt::format("request {}: its client left", id); });
     }
 
-    void land(const std::string& id, int attempt, Verdict verdict, Note note, Micros first_byte) {
+    void land(const std::string& id, int attempt, AttemptStatus verdict, CacheStatus note,
+              Micros first_byte) {
         const auto found = open_.find(id);
-        nettlethread::Outcome outcome;
+        routing::AttemptFinished outcome;
         outcome.id = id;
         outcome.attempt = attempt;
-        outcome.verdict = verdict;
-        outcome.note = note;
-        outcome.first_byte = first_byte;
+        outcome.status = verdict;
+        outcome.cache_status = note;
+        outcome.time_to_first_byte = first_byte;
         const auto key = std::pair(id, attempt);
         const auto sent = sent_.find(key);
         if (sent == sent_.end()) return;  // called off already
         const auto [when, target] = sent->second;
         sent_.erase(sent);
-        outcome.cache = fleet_.name(target);
-        outcome.took = now_ - when;
-        outcome.ended = verdict == Verdict::served || found == open_.end();
-        if (members_[target].stale) outcome.load = {.held = 500, .link = 20};
+        outcome.endpoint = fleet_.name(target);
+        outcome.elapsed = now_ - when;
+        outcome.request_finished = verdict == AttemptStatus::served || found == open_.end();
+        if (members_[target].stale) outcome.load = {.in_flight = 500, .ingress_utilization = 20};
         if (found != open_.end()) {
             found->second.out.erase(attempt);
-            const bool never_ran = verdict == Verdict::full || verdict == Verdict::not_connected ||
-                                   verdict == Verdict::never_sent || verdict == Verdict::missing;
+            const bool never_ran = verdict == AttemptStatus::overloaded ||
+                                   verdict == AttemptStatus::connect_failed ||
+                                   verdict == AttemptStatus::not_sent || verdict == AttemptStatus::not_found;
             if (!never_ran) found->second.may_have_run = true;
         }
-        const bool served = verdict == Verdict::served && found != open_.end();
+        const bool served = verdict == AttemptStatus::served && found != open_.end();
         static constexpr const char* kVerdicts[] = {"served",     "error",         "full",
                                                     "timed out",  "not connected", "broken off",
                                                     "called off", "never sent",    "missing"};
         feed(outcome, [&] {
-            return fmt::format("request {}: attempt {} at {}: {}", id, attempt, outcome.cache,
+            return fmt::format("request {}: attempt {} at {}: {}", id, attempt, outcome.endpoint,
                                kVerdicts[static_cast<std::size_t>(verdict)]);
         });
-        if (served) finish(id, Ended::served);
+        if (served) finish(id, RequestOutcome::served);
     }
 
     // ---- the router's actions ----
-    void carry_out(const nettlethread::Serve& serve) { send(serve); }
-    void carry_out(const nettlethread::LookUp& look) {
-        nettlethread::Serve serve;
+    void carry_out(const routing::Forward& serve) { send(serve); }
+    void carry_out(const routing::Lookup& look) {
+        routing::Forward serve;
         serve.id = look.id;
-        serve.cache = serve.source = look.cache;
+        serve.endpoint = serve.source = look.endpoint;
         serve.timeout = look.timeout;
         send(serve);
     }
-    void carry_out(const nettlethread::SetTimer& timer) {
+    void carry_out(const routing::SetTimer& timer) {
         at(timer.at - kBegin, [this, token = timer.token] {
-            feed(nettlethread::TimerDue{token}, [&] { return fmt::format("timer {}", token); });
+            feed(routing::TimerExpired{token}, [&] { return fmt::format("timer {}", token); });
         });
     }
-    void carry_out(const nettlethread::Refuse& refuse) {
+    void carry_out(const routing::Reject& refuse) {
         say([&] { return fmt::format("out  request {}: refused", refuse.id); });
-        finish(refuse.id, Ended::refused);
+        finish(refuse.id, RequestOutcome::rejected);
     }
-    void carry_out(const nettlethread::Fail& fail) {
+    void carry_out(const routing::Fail& fail) {
         say([&] { return fmt::format("out  request {}: failed", fail.id); });
-        finish(fail.id, Ended::failed);
+        finish(fail.id, RequestOutcome::failed);
     }
-    void carry_out(const nettlethread::Cancel& cancel) {
+    void carry_out(const routing::Cancel& cancel) {
         say([&] { return fmt::format("out  request {}: attempt {} called off", cancel.id, cancel.attempt); });
-        at(now_, [this, cancel] { land(cancel.id, cancel.attempt, Verdict::called_off, Note::none, 0); });
+        at(now_, [this, cancel] {
+            land(cancel.id, cancel.attempt, AttemptStatus::cancelled, CacheStatus::unknown, 0);
+        });
     }
-    void carry_out(const nettlethread::Log& line) {
+    void carry_out(const routing::LogMessage& line) {
         say([&] { return "log  " + line.text; });
     }
     template <typename Other>
     void carry_out(const Other&) {}  // none of the others bears on where a request goes
 
-    void send(const nettlethread::Serve& serve) {
+    void send(const routing::Forward& serve) {
         const auto found = open_.find(serve.id);
         if (found == open_.end()) return;
         Open& open = found->second;
-        const int target = place_of(serve.cache), source = place_of(serve.source);
+        const int target = place_of(serve.endpoint), source = place_of(serve.source);
         Decision decision;
         decision.at = now_;
         decision.request = open.ask->number;
         decision.attempt = open.attempts;
         decision.target = target;
         decision.source = source == target ? -1 : source < 0 ? -2 : source;
-        decision.rank = serve.rank;
+        decision.rank = serve.cache_priority;
         decision.may_have_run = open.may_have_run || !open.out.empty();
         if (open.attempts == 0) open.first_at = now_, open.first_target = target;
         decision.first_at = open.first_at;
         decision.first_target = open.first_target;
         say([&] {
-            return fmt::format("out  request {}: attempt {} to {}{}", serve.id, open.attempts, serve.cache,
+            return fmt::format("out  request {}: attempt {} to {}{}", serve.id, open.attempts, serve.endpoint,
                                decision.source < 0 ? "" : ", filled from " + serve.source);
         });
-        watcher_.decided(*open.ask, decision, told_);
+        watcher_.on_decision(*open.ask, decision, told_);
         const int attempt = open.attempts++;
         if (target < 0) return;
         open.out[attempt] = {target, source};
@@ -322,50 +332,56 @@
         return std::max(1.0, kColdPace - (kColdPace - 1) * warmed);
     }
 
-    void answer(const nettlethread::Serve& serve, const Ask& ask, int attempt, int target, int source,
-                Micros deadline) {
-        const auto later = [&](Micros after, Verdict verdict, Note note = Note::none, Micros first_byte = 0) {
+    void answer(const routing::Forward& serve, const SimulatedRequest& ask, int attempt, int target,
+                int source, Micros deadline) {
+        const auto later = [&](Micros after, AttemptStatus verdict, CacheStatus note = CacheStatus::unknown,
+                               Micros first_byte = 0) {
             // Whatever comes after the attempt's own limit is not waited for.
             const Micros limit =
                 serve.timeout > 0 ? std::min(serve.timeout, deadline - now_) : deadline - now_;
-            if (after > limit) after = limit, verdict = Verdict::timed_out, note = Note::none, first_byte = 0;
+            if (after > limit)
+                after = limit, verdict = AttemptStatus::timed_out, note = CacheStatus::unknown,
+                first_byte = 0;
             at(now_ + after, [this, id = serve.id, attempt, verdict, note, first_byte] {
                 land(id, attempt, verdict, note, first_byte);
             });
         };
         MemberState& member = members_[target];
         const Micros connect = settings_.connect_timeout > 0 ? settings_.connect_timeout : 400 * kMs;
-        if (member.refuses) return later(kRefusal, Verdict::not_connected);
-        if (member.silent) return later(connect, Verdict::not_connected);
-        if (member.full) return later(kRefusal, Verdict::full);
-        const double pace = std::max(1.0, settings_.pace_kb_per_s);
+        if (member.refuses) return later(kRefusal, AttemptStatus::connect_failed);
+        if (member.silent) return later(connect, AttemptStatus::connect_failed);
+        if (member.full) return later(kRefusal, AttemptStatus::overloaded);
+        const double pace = std::max(1.0, settings_.transfer_rate_kb_per_s);
         const auto work = static_cast<Micros>(ask.size_kb / pace * 1e6 * slowness(target));
         const std::pair<int, int> part{ask.object, ask.part};
         const bool origin = fleet_.kind_of(target) == Kind::origin;
-        const bool runs_there = settings_.classes[ask.service].uncached;
-        if (origin) return later(kOriginWay + work, Verdict::served, Note::hit);
+        const bool runs_there = settings_.classes[ask.class_index].uncacheable;
+        if (origin) return later(kOriginWay + work, AttemptStatus::served, CacheStatus::hit);
         if (!runs_there && member.holds.contains(part))
-            return later(kNear + work, Verdict::served, Note::hit);
-        if (source < 0) return later(kNear, Verdict::missing, Note::source_lacks);
+            return later(kNear + work, AttemptStatus::served, CacheStatus::hit);
+        if (source < 0) return later(kNear, AttemptStatus::not_found, CacheStatus::source_missing);
         MemberState& from = members_[source];
-        if (from.refuses) return later(kNear + kRefusal, Verdict::error, Note::source_lost, kRefusal);
-        if (from.silent) return later(connect, Verdict::error, Note::source_lost, connect);
+        if (from.refuses)
+            return later(kNear + kRefusal, AttemptStatus::error, CacheStatus::source_unreachable, kRefusal);
+        if (from.silent)
+            return later(connect, AttemptStatus::error, CacheStatus::source_unreachable, connect);
         if (from.fails_fills || from.full)
-            return later(kNear + kFillWay, Verdict::error, Note::source_refused, kFillWay);
+            return later(kNear + kFillWay, AttemptStatus::error, CacheStatus::source_rejected, kFillWay);
         const bool from_origin = fleet_.kind_of(source) == Kind::origin;
         const bool held = from_origin || from.holds.contains(part);
         if (!held && fleet_.kind_of(source) == Kind::cache)
-            return later(kNear + kFillWay, Verdict::missing, Note::source_lacks);
-        if (!held && serve.source_holds) return later(kNear + kFillWay, Verdict::missing, Note::source_lacks);
+            return later(kNear + kFillWay, AttemptStatus::not_found, CacheStatus::source_missing);
+        if (!held && serve.source_cached_only)
+            return later(kNear + kFillWay, AttemptStatus::not_found, CacheStatus::source_missing);
         if (!held && !origin_up())
-            return later(kNear + kOriginWay, Verdict::error, Note::origin_failed, kOriginWay);
+            return later(kNear + kOriginWay, AttemptStatus::error, CacheStatus::origin_failed, kOriginWay);
         const Micros way = held && !from_origin ? kFillWay : kOriginWay;
         if (!runs_there) {
-            if (!held && !serve.parent_skips) from.holds.insert(part);
-            if (serve.rank > 0) member.holds.insert(part);
+            if (!held && !serve.parent_bypasses_cache) from.holds.insert(part);
+            if (serve.cache_priority > 0) member.holds.insert(part);
         }
-        later(way + static_cast<Micros>(static_cast<double>(work) * 1.2), Verdict::served,
-              held ? Note::filled : Note::filled_by_origin, way);
+        later(way + static_cast<Micros>(static_cast<double>(work) * 1.2), AttemptStatus::served,
+              held ? CacheStatus::filled : CacheStatus::filled_by_origin, way);
     }
 
     bool origin_up() const {
@@ -375,15 +391,15 @@
         return false;
     }
 
-    const World& world_;
-    const Fleet& fleet_;
-    const std::vector<Ask>& asks_;
-    Watcher& watcher_;
-    const nettlethread::Settings settings_;
-    nettlethread::Router router_;
+    const Scenario& world_;
+    const FleetModel& fleet_;
+    const std::vector<SimulatedRequest>& asks_;
+    SimulationObserver& watcher_;
+    const routing::Settings settings_;
+    routing::Router router_;
     std::unordered_map<std::string, int> places_;
     std::vector<MemberState> members_;
-    std::vector<ToldState> told_;
+    std::vector<NotifiedStateSince> told_;
     std::map<int, int> deaths_;  // a later life makes what was to be told of an earlier one void
     std::map<std::string, Open> open_;
     std::map<std::pair<std::string, int>, std::pair<Micros, int>> sent_;
@@ -395,22 +411,23 @@
 
 }  // namespace
 
-const char* name_of(Ended ended) {
+const char* name_of(RequestOutcome ended) {
     switch (ended) {
-        case Ended::served:
+        case RequestOutcome::served:
             return "served";
-        case Ended::refused:
+        case RequestOutcome::rejected:
             return "refused";
-        case Ended::failed:
+        case RequestOutcome::failed:
             return "failed";
-        case Ended::unanswered:
+        case RequestOutcome::unanswered:
             return "unanswered";
     }
     return "?";
 }
 
-void play(const World& world, const Fleet& fleet, const std::vector<Ask>& asks, Watcher& watcher) {
+void simulate(const Scenario& world, const FleetModel& fleet, const std::vector<SimulatedRequest>& asks,
+              SimulationObserver& watcher) {
     Run(world, fleet, asks, watcher).go();
 }
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/expect/drive.h
+++ b/src/expectations/simulation.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "expect/world.h"
+#include "expectations/fault_scenario.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 // One attempt that the router asked for.
 struct Decision {
@@ -24,27 +24,29 @@
     int first_target = -1;
 };
 
-enum class Ended { served, refused, failed, unanswered };
-const char* name_of(Ended ended);
+enum class RequestOutcome { served, rejected, failed, unanswered };
+const char* name_of(RequestOutcome ended);
 
 // What the proxy was told of each member, and since when.
-struct ToldState {
-    Told told = Told::up;
+struct NotifiedStateSince {
+    NotifiedState told = NotifiedState::up;
     Micros since = 0;  // of `told`
 };
 
-struct RequestEnd {
+struct RequestResult {
     int request = 0;
-    Ended how = Ended::unanswered;
+    RequestOutcome outcome = RequestOutcome::unanswered;
     int attempts = 0;
-    Micros took = 0;
+    Micros elapsed = 0;
 };
 
-class Watcher {
+class SimulationObserver {
   public:
-    virtual ~Watcher() = default;
-    virtual void decided(const Ask& ask, const Decision& decision, const std::vector<ToldState>& told) = 0;
-    virtual void ended(const Ask& ask, const RequestEnd& end, const std::vector<ToldState>& told) = 0;
+    virtual ~SimulationObserver() = default;
+    virtual void on_decision(const SimulatedRequest& ask, const Decision& decision,
+                             const std::vector<NotifiedStateSince>& told) = 0;
+    virtual void on_request_finished(const SimulatedRequest& ask, const RequestResult& end,
+                                     const std::vector<NotifiedStateSince>& told) = 0;
     // For replays: each event that goes in and each action that comes out, in words.
     virtual void step(Micros at, const std::string& words) {
         static_cast<void>(at), static_cast<void>(words);
@@ -55,6 +57,7 @@
 };
 
 // `asks` in order of time.
-void play(const World& world, const Fleet& fleet, const std::vector<Ask>& asks, Watcher& watcher);
+void simulate(const Scenario& world, const FleetModel& fleet, const std::vector<SimulatedRequest>& asks,
+              SimulationObserver& watcher);
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/src/registry/registry.cpp
+++ b/src/kv_store/kv_store.cpp
@@ -1,11 +1,11 @@
-#include "registry/registry.h"
+#include "kv_store/kv_store.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <charconv>
 
-namespace sumackeel::registry {
+namespace sumackeel::kv_store {
 
 namespace {
 
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-const std::vector<Space>& spaces() {
-    static const std::vector<Space> all = {
+const std::vector<Namespace>& namespaces() {
+    static const std::vector<Namespace> all = {
         {"revoked/", kMany, kRoom, nullptr, nullptr},
         {"key/", kSome, kLittle, "on or off", [](std::string_view v) { return v == "on" || v == "off"; }},
         {"setting/leeway_s", 1, kSome, "0 to 300", whole_upto<300>},
@@ -40,9 +40,9 @@
     return all;
 }
 
-const Space& space_of(std::string_view key) {
-    return *std::find_if(spaces().begin(), spaces().end(),
-                         [&](const Space& space) { return key.starts_with(space.prefix); });
+const Namespace& namespace_of(std::string_view key) {
+    return *std::find_if(namespaces().begin(), namespaces().end(),
+                         [&](const Namespace& space) { return key.starts_with(space.prefix); });
 }
 
 const Entry* State::find(const std::string& key) const {
@@ -50,61 +50,61 @@
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-std::string unfit(const Change& change) {
-    if (change.parts.empty() || change.parts.size() > kMostParts)
-        return fmt::format("1 to {} keys at once", kMostParts);
+std::string validate(const Transaction& change) {
+    if (change.operations.empty() || change.operations.size() > kMaxOperations)
+        return fmt::format("1 to {} keys at once", kMaxOperations);
     std::vector<std::string_view> keys;
-    for (const Part& part : change.parts) {
+    for (const Operation& part : change.operations) {
         const bool sound = std::all_of(part.key.begin(), part.key.end(),
                                        [](unsigned char c) { return c > ' ' && c < 0x7f; });
-        if (part.key.empty() || part.key.size() > kLongestKey || !sound)
-            return fmt::format("a key is 1 to {} signs without blanks", kLongestKey);
+        if (part.key.empty() || part.key.size() > kMaxKeyLength || !sound)
+            return fmt::format("a key is 1 to {} signs without blanks", kMaxKeyLength);
         if (std::find(keys.begin(), keys.end(), part.key) != keys.end())
             return part.key + " stands there twice";
         keys.push_back(part.key);
-        if (part.value.size() > kLongestValue)
-            return fmt::format("{}: a value is {} bytes at most", part.key, kLongestValue);
-        const Space& space = space_of(part.key);
-        if (part.what == Do::set && space.fits && !space.fits(part.value))
-            return fmt::format("{}: {} is wanted", part.key, space.wanted);
-        if (part.lasts < 0) return part.key + ": a time that is over";
+        if (part.value.size() > kMaxValueBytes)
+            return fmt::format("{}: a value is {} bytes at most", part.key, kMaxValueBytes);
+        const Namespace& space = namespace_of(part.key);
+        if (part.kind == OperationKind::set && space.is_valid_value && !space.is_valid_value(part.value))
+            return fmt::format("{}: {} is wanted", part.key, space.value_description);
+        if (part.time_to_live < 0) return part.key + ": a time that is over";
     }
     return {};
 }
 
 // Which bound the change would break.
-std::string State::over(const Change& change) const {
+std::string State::over(const Transaction& change) const {
     std::map<std::string_view, Used> used = used_;
-    for (const Part& part : change.parts) {
-        Used& of = used[space_of(part.key).prefix];
-        if (part.what == Do::check) continue;
+    for (const Operation& part : change.operations) {
+        Used& of = used[namespace_of(part.key).prefix];
+        if (part.kind == OperationKind::check) continue;
         if (const Entry* old = find(part.key)) --of.keys, of.bytes -= size_of(part.key, *old);
-        if (part.what == Do::set) ++of.keys, of.bytes += part.key.size() + part.value.size();
+        if (part.kind == OperationKind::set) ++of.keys, of.bytes += part.key.size() + part.value.size();
     }
-    for (const Part& part : change.parts) {
-        const Space& space = space_of(part.key);
+    for (const Operation& part : change.operations) {
+        const Namespace& space = namespace_of(part.key);
         const Used &now = used[space.prefix],
                    before = used_.contains(space.prefix) ? used_.at(space.prefix) : Used{};
-        if (now.keys > space.most_keys && now.keys > before.keys)
-            return fmt::format("{}: {} keys under '{}' at most", part.key, space.most_keys, space.prefix);
-        if (now.bytes > space.most_bytes && now.bytes > before.bytes)
-            return fmt::format("{}: {} bytes under '{}' at most", part.key, space.most_bytes, space.prefix);
+        if (now.keys > space.max_keys && now.keys > before.keys)
+            return fmt::format("{}: {} keys under '{}' at most", part.key, space.max_keys, space.prefix);
+        if (now.bytes > space.max_bytes && now.bytes > before.bytes)
+            return fmt::format("{}: {} bytes under '{}' at most", part.key, space.max_bytes, space.prefix);
     }
     return {};
 }
 
 void State::set(const std::string& key, std::optional<Entry> entry) {
-    Used& used = used_[space_of(key).prefix];
+    Used& used = used_[namespace_of(key).prefix];
     if (const auto old = entries_.find(key); old != entries_.end()) {
         --used.keys, used.bytes -= size_of(key, old->second);
-        const auto [begin, end] = ending_.equal_range(old->second.until);
+        const auto [begin, end] = ending_.equal_range(old->second.expires_at);
         const auto mine = std::find_if(begin, end, [&](const auto& one) { return one.second == key; });
         if (mine != end) ending_.erase(mine);
         entries_.erase(old);
     }
     if (!entry) return;
     ++used.keys, used.bytes += size_of(key, *entry);
-    if (entry->until > 0) ending_.emplace(entry->until, key);
+    if (entry->expires_at > 0) ending_.emplace(entry->expires_at, key);
     entries_[key] = std::move(*entry);
 }
 
@@ -112,7 +112,7 @@
     event_bytes_ += event.key.size() + (event.entry ? event.entry->value.size() : 0);
     events_.push_back(std::move(event));
     // Those of one revision go together: what came since is told whole.
-    while (!events_.empty() && (events_.size() > kMostEvents || event_bytes_ > kMostEventBytes)) {
+    while (!events_.empty() && (events_.size() > kMaxEvents || event_bytes_ > kMaxEventBytes)) {
         compacted_ = events_.front().revision;
         while (!events_.empty() && events_.front().revision == compacted_) {
             const Event& first = events_.front();
@@ -122,65 +122,67 @@
     }
 }
 
-Answer State::apply(const Change& change) {
-    const auto no = [&](std::string why) { return Answer{false, revision_, std::move(why)}; };
-    if (std::string wrong = unfit(change); !wrong.empty()) return no(std::move(wrong));
+ApplyResult State::apply(const Transaction& change) {
+    const auto no = [&](std::string why) { return ApplyResult{false, revision_, std::move(why)}; };
+    if (std::string wrong = validate(change); !wrong.empty()) return no(std::move(wrong));
     bool changes = false;
-    for (const Part& part : change.parts) {
+    for (const Operation& part : change.operations) {
         const Entry* found = find(part.key);
         const std::uint64_t has = found ? found->version : 0;
-        if (part.expected && *part.expected != has)
-            return no(fmt::format("{} has version {}, {} was expected", part.key, has, *part.expected));
-        changes = changes || part.what == Do::set || (part.what == Do::remove && found);
+        if (part.expected_version && *part.expected_version != has)
+            return no(
+                fmt::format("{} has version {}, {} was expected", part.key, has, *part.expected_version));
+        changes = changes || part.kind == OperationKind::set || (part.kind == OperationKind::remove && found);
     }
     if (std::string wrong = over(change); !wrong.empty()) return no(std::move(wrong));
     if (!changes) return {true, revision_, {}};
     ++revision_;
-    for (const Part& part : change.parts) {
-        if (part.what == Do::check || (part.what == Do::remove && !find(part.key))) continue;
+    for (const Operation& part : change.operations) {
+        if (part.kind == OperationKind::check || (part.kind == OperationKind::remove && !find(part.key)))
+            continue;
         std::optional<Entry> entry;
-        if (part.what == Do::set)
-            entry = Entry{revision_, part.value, part.lasts > 0 ? change.now + part.lasts : 0};
+        if (part.kind == OperationKind::set)
+            entry = Entry{revision_, part.value, part.time_to_live > 0 ? change.now + part.time_to_live : 0};
         set(part.key, entry);
         keep({revision_, part.key, std::move(entry)});
     }
     return {true, revision_, {}};
 }
 
-Answer State::apply(const Purge& purge) {
-    if (purge.group < 0 || purge.object.size() > kLongestKey)
+ApplyResult State::apply(const Purge& purge) {
+    if (purge.purge_group < 0 || purge.object.size() > kMaxKeyLength)
         return {false, revision_, "no such group or object"};
     ++revision_;
     purges_.push_back(purge);
     purges_.back().number = revision_;
-    if (purges_.size() > kMostPurges) purged_ = purges_.front().number, purges_.pop_front();
+    if (purges_.size() > kMaxPurges) purged_ = purges_.front().number, purges_.pop_front();
     keep({revision_, {}, std::nullopt});  // so that what came since is asked of the purges too
     return {true, revision_, {}};
 }
 
-std::optional<Micros> State::due() const {
+std::optional<Micros> State::next_expiry() const {
     std::optional<Micros> at;
     if (!ending_.empty()) at = ending_.begin()->first;
-    if (!purges_.empty() && (!at || purges_.front().at + kPurgeKept < *at))
-        at = purges_.front().at + kPurgeKept;
+    if (!purges_.empty() && (!at || purges_.front().at + kPurgeRetention < *at))
+        at = purges_.front().at + kPurgeRetention;
     return at;
 }
 
-Answer State::apply(const Tick& tick) {
-    if (!due() || *due() > tick.now) return {false, revision_, "nothing is over"};
+ApplyResult State::apply(const ExpireKeys& tick) {
+    if (!next_expiry() || *next_expiry() > tick.now) return {false, revision_, "nothing is over"};
     ++revision_;
     while (!ending_.empty() && ending_.begin()->first <= tick.now) {
         const std::string key = ending_.begin()->second;
         set(key, std::nullopt);
         keep({revision_, key, std::nullopt});
     }
-    while (!purges_.empty() && purges_.front().at + kPurgeKept <= tick.now)
+    while (!purges_.empty() && purges_.front().at + kPurgeRetention <= tick.now)
         purged_ = purges_.front().number, purges_.pop_front();
     keep({revision_, {}, std::nullopt});
     return {true, revision_, {}};
 }
 
-std::optional<std::vector<Event>> State::since(std::uint64_t revision) const {
+std::optional<std::vector<Event>> State::events_since(std::uint64_t revision) const {
     if (revision < compacted_ || revision > revision_) return std::nullopt;
     const auto first =
         std::lower_bound(events_.begin(), events_.end(), revision + 1,
@@ -193,4 +195,4 @@
            purged_ == other.purged_;
 }
 
-}  // namespace sumackeel::registry
+}  // namespace sumackeel::kv_store
--- a/src/registry/registry.h
+++ b/src/kv_store/kv_store.h
@@ -18,66 +18,66 @@
 
 #include "base/time.h"
 
-namespace sumackeel::registry {
+namespace sumackeel::kv_store {
 
 using base::Micros;
 
-constexpr std::size_t kLongestKey = 256, kLongestValue = 64 * 1024, kLongestName = 256;
-constexpr std::size_t kMostParts = 64;      // of one change
-constexpr std::size_t kMostEvents = 4'096;  // kept for those that ask what came since,
-constexpr std::size_t kMostEventBytes = 1 << 20;
-constexpr std::size_t kMostPurges = 20'000;  // the newest
+constexpr std::size_t kMaxKeyLength = 256, kMaxValueBytes = 64 * 1024, kMaxNameLength = 256;
+constexpr std::size_t kMaxOperations = 64;  // of one change
+constexpr std::size_t kMaxEvents = 4'096;   // kept for those that ask what came since,
+constexpr std::size_t kMaxEventBytes = 1 << 20;
+constexpr std::size_t kMaxPurges = 20'000;  // the newest
 // Boxes drop what was purged within seconds, so after this long no copy from before is about anywhere.
-constexpr Micros kPurgeKept = 600 * base::kSecond;
+constexpr Micros kPurgeRetention = 600 * base::kSecond;
 
 // What a key may be called and hold. The first whose prefix fits counts; the last has none and fits all.
-struct Space {
+struct Namespace {
     std::string_view prefix;
-    std::size_t most_keys, most_bytes;  // keys and values together
-    const char* wanted;                 // of a value, in words; null: any
-    bool (*fits)(std::string_view value);
+    std::size_t max_keys, max_bytes;  // keys and values together
+    const char* value_description;    // of a value, in words; null: any
+    bool (*is_valid_value)(std::string_view value);
 };
-const std::vector<Space>& spaces();
-const Space& space_of(std::string_view key);
+const std::vector<Namespace>& namespaces();
+const Namespace& namespace_of(std::string_view key);
 
 struct Entry {
     std::uint64_t version = 0;  // the revision that set it
     std::string value;
-    Micros until = 0;  // by the leader's clock; 0: it stays
+    Micros expires_at = 0;  // by the leader's clock; 0: it stays
     bool operator==(const Entry&) const = default;
 };
 
-enum class Do : std::uint8_t { set, remove, check };
-struct Part {
+enum class OperationKind : std::uint8_t { set, remove, check };
+struct Operation {
     std::string key;
-    Do what = Do::set;
-    std::string value;                      // of a set
-    std::optional<std::uint64_t> expected;  // only if it has this version; 0: if it is not there
-    Micros lasts = 0;                       // 0: it stays
+    OperationKind kind = OperationKind::set;
+    std::string value;                              // of a set
+    std::optional<std::uint64_t> expected_version;  // only if it has this version; 0: if it is not there
+    Micros time_to_live = 0;                        // 0: it stays
 };
 // All parts or none.
-struct Change {
-    std::vector<Part> parts;
+struct Transaction {
+    std::vector<Operation> operations;
     std::string by;
     Micros now = 0;  // the leader's
 };
 // What is wrong with it whatever the state; empty: nothing.
-std::string unfit(const Change& change);
+std::string validate(const Transaction& change);
 
 struct Purge {
     std::uint64_t number = 0;  // the revision
-    int group = 0;
+    int purge_group = 0;
     std::string object;  // empty: the whole group
     std::string by;
     Micros at = 0;  // the leader's clock, for people: ages are counted by whoever hears of it
     bool operator==(const Purge&) const = default;
 };
-struct Tick {
+struct ExpireKeys {
     Micros now = 0;
 };
 
-struct Answer {
-    bool done = false;
+struct ApplyResult {
+    bool applied = false;
     std::uint64_t revision = 0;  // done: of the change; else of the state
     std::string reason;          // not done: which key or bound
 };
@@ -92,9 +92,9 @@
 
 class State {
   public:
-    Answer apply(const Change& change);
-    Answer apply(const Purge& purge);
-    Answer apply(const Tick& tick);
+    ApplyResult apply(const Transaction& change);
+    ApplyResult apply(const Purge& purge);
+    ApplyResult apply(const ExpireKeys& tick);
 
     const Entry* find(const std::string& key) const;
     const std::map<std::string, Entry>& entries() const { return entries_; }
@@ -102,15 +102,15 @@
     std::uint64_t revision() const { return revision_; }
     std::uint64_t last_purge() const { return purges_.empty() ? purged_ : purges_.back().number; }
     // By the leader's clock: when a tick would change something.
-    std::optional<Micros> due() const;
+    std::optional<Micros> next_expiry() const;
 
     // For one that has `revision`: what came since, or all where that is compacted; empty: it has all.
-    std::string news(std::uint64_t revision) const;
+    std::string update_since(std::uint64_t revision) const;
     // What `news` told. False: it fits on nothing that is here, and all is to be asked for (revision 0).
     // Throws std::runtime_error on bytes that are none.
-    bool take(std::string_view news);
+    bool apply_update(std::string_view news);
     // What changed behind `revision`, in order; none: compacted.
-    std::optional<std::vector<Event>> since(std::uint64_t revision) const;
+    std::optional<std::vector<Event>> events_since(std::uint64_t revision) const;
 
     // As bytes (MessagePack, with a version); throws std::runtime_error on bytes that are none.
     std::string encode() const;
@@ -122,7 +122,7 @@
     struct Used {
         std::size_t keys = 0, bytes = 0;
     };
-    std::string over(const Change& change) const;
+    std::string over(const Transaction& change) const;
     void set(const std::string& key, std::optional<Entry> entry);
     void keep(Event event);
 
@@ -137,15 +137,15 @@
 };
 
 // The revision that what `news` told leads to. Throws std::runtime_error on bytes that are none.
-std::uint64_t newest_in(std::string_view news);
+std::uint64_t revision_of_update(std::string_view news);
 
 // Commands as the log holds them. decode throws std::runtime_error.
-std::string encode(const Change& change);
+std::string encode(const Transaction& change);
 std::string encode(const Purge& purge);
-std::string encode(const Tick& tick);
+std::string encode(const ExpireKeys& tick);
 bool is_command(std::string_view bytes);
-Answer apply(State& state, std::string_view command);
+ApplyResult apply(State& state, std::string_view command);
 // The same with the leader's time in it, for one that proposes what another wants.
-std::string stamped(std::string_view command, Micros now);
+std::string with_leader_time(std::string_view command, Micros now);
 
-}  // namespace sumackeel::registry
+}  // namespace sumackeel::kv_store
--- a/src/net/off_loop.cpp
+++ b/src/net/background_task.cpp
@@ -1,21 +1,21 @@
-#include "net/off_loop.h"
+#include "net/background_task.h"
 
 #include <memory>
 #include <utility>
 
 namespace sumackeel::net {
 
-struct OffLoop::Job {
+struct BackgroundTask::Job {
     uv_work_t work{};
-    OffLoop* owner;  // null: it is gone
+    BackgroundTask* owner;  // null: it is gone
     std::function<void()> task, done;
 };
 
-OffLoop::~OffLoop() {
+BackgroundTask::~BackgroundTask() {
     if (job_) job_->owner = nullptr;
 }
 
-void OffLoop::run(std::function<void()> work, std::function<void()> done) {
+void BackgroundTask::run(std::function<void()> work, std::function<void()> done) {
     began_ = loop_.clock().now();
     job_ = new Job{{}, this, std::move(work), std::move(done)};
     job_->work.data = job_;
@@ -24,7 +24,7 @@
         [](uv_work_t* work, int) {
             const std::unique_ptr<Job> job(static_cast<Job*>(work->data));
             if (!job->owner) return;
-            job->owner->last_took_ = job->owner->busy_for();
+            job->owner->last_took_ = job->owner->running_for();
             job->owner->job_ = nullptr;
             job->done();
         });
--- a/src/net/off_loop.h
+++ b/src/net/background_task.h
@@ -9,19 +9,19 @@
 
 // One piece of work at a time. What is under way when this is destroyed ends by itself, unheard, also where
 // its disk hangs; so `work` may hold nothing that dies with the owner.
-class OffLoop {
+class BackgroundTask {
   public:
-    explicit OffLoop(Loop& loop) : loop_(loop) {}
-    ~OffLoop();
-    OffLoop(const OffLoop&) = delete;
-    OffLoop& operator=(const OffLoop&) = delete;
+    explicit BackgroundTask(Loop& loop) : loop_(loop) {}
+    ~BackgroundTask();
+    BackgroundTask(const BackgroundTask&) = delete;
+    BackgroundTask& operator=(const BackgroundTask&) = delete;
 
     bool busy() const { return job_ != nullptr; }
-    Micros last_took() const { return last_took_; }
-    Micros busy_for() const { return busy() ? loop_.clock().now() - began_ : 0; }
+    Micros last_duration() const { return last_took_; }
+    Micros running_for() const { return busy() ? loop_.clock().now() - began_ : 0; }
     // The work has been under way for longer than a disk that works takes.
-    bool hangs() const { return busy_for() > kHangs; }
-    static constexpr Micros kHangs = 100'000;
+    bool is_stuck() const { return running_for() > kStuckAfter; }
+    static constexpr Micros kStuckAfter = 100'000;
     // Not while busy. `work` may not throw; `done` is called on the loop, where more work may be given.
     void run(std::function<void()> work, std::function<void()> done);
 
--- a/src/net/latest_on_disk.cpp
+++ b/src/net/latest_value_writer.cpp
@@ -1,4 +1,4 @@
-#include "net/latest_on_disk.h"
+#include "net/latest_value_writer.h"
 
 #include <algorithm>
 #include <memory>
@@ -14,34 +14,34 @@
 
 }  // namespace
 
-LatestOnDisk::LatestOnDisk(Loop& loop, std::string name, Put put)
+LatestValueWriter::LatestValueWriter(Loop& loop, std::string name, Write put)
     : loop_(loop), name_(std::move(name)), put_(std::move(put)), writes_(loop) {}
 
-LatestOnDisk::~LatestOnDisk() {
-    if (again_) loop_.deadlines().drop(*again_);
+LatestValueWriter::~LatestValueWriter() {
+    if (again_) loop_.timers().cancel(*again_);
 }
 
-void LatestOnDisk::keep(std::string text) {
+void LatestValueWriter::store(std::string text) {
     text_ = std::move(text);
     dirty_ = true;
     if (!writes_.busy()) write();
 }
 
-std::string LatestOnDisk::missing() const {
-    if (!owes()) return {};
+std::string LatestValueWriter::unwritten_reason() const {
+    if (!has_unwritten()) return {};
     return fault_.empty() ? name_ + ": the disk has not answered yet" : fault_;
 }
 
-void LatestOnDisk::write() {
-    if (again_) loop_.deadlines().drop(*again_);
+void LatestValueWriter::write() {
+    if (again_) loop_.timers().cancel(*again_);
     again_.reset();
     dirty_ = false;
     const auto fault = std::make_shared<std::string>();
     writes_.run([put = put_, text = text_, fault] { *fault = put(text); }, [this, fault] { done(*fault); });
 }
 
-void LatestOnDisk::done(const std::string& fault) {
-    longest_write_ = std::max(longest_write_, writes_.last_took());
+void LatestValueWriter::done(const std::string& fault) {
+    longest_write_ = std::max(longest_write_, writes_.last_duration());
     if (fault.empty()) ++written_;
     if (!fault.empty() && fault_.empty()) log::warn("{} not kept yet, trying again: {}", name_, fault);
     if (fault.empty() && !fault_.empty()) log::info("{} kept again", name_);
@@ -55,8 +55,8 @@
     if (settled_) settled_();
 }
 
-void LatestOnDisk::try_later() {
-    again_ = loop_.deadlines().set(loop_.clock().now() + kTryAgain, [this] {
+void LatestValueWriter::try_later() {
+    again_ = loop_.timers().schedule(loop_.clock().now() + kTryAgain, [this] {
         again_.reset();
         if (!writes_.busy()) write();
     });
--- a/src/net/latest_on_disk.h
+++ b/src/net/latest_value_writer.h
@@ -5,32 +5,34 @@
 #include <optional>
 #include <string>
 
-#include "net/off_loop.h"
+#include "net/background_task.h"
 
 namespace sumackeel::net {
 
-class LatestOnDisk {
+class LatestValueWriter {
   public:
     // Puts a text on disk, on another thread, and so holds nothing that dies with the owner. Empty: done;
     // else what went wrong.
-    using Put = std::function<std::string(const std::string& text)>;
+    using Write = std::function<std::string(const std::string& text)>;
 
     // `name`: what is kept, for the log.
-    LatestOnDisk(Loop& loop, std::string name, Put put);
-    ~LatestOnDisk();
-    LatestOnDisk(const LatestOnDisk&) = delete;
-    LatestOnDisk& operator=(const LatestOnDisk&) = delete;
+    LatestValueWriter(Loop& loop, std::string name, Write put);
+    ~LatestValueWriter();
+    LatestValueWriter(const LatestValueWriter&) = delete;
+    LatestValueWriter& operator=(const LatestValueWriter&) = delete;
 
     // Takes the place of what is not on disk yet. A write that fails is tried again until it is done.
-    void keep(std::string text);
+    void store(std::string text);
     // Called after each write, whether it went well or not.
-    void on_settled(std::function<void()> what) { settled_ = std::move(what); }
+    void on_write_finished(std::function<void()> what) { settled_ = std::move(what); }
 
-    bool owes() const { return writes_.busy() || dirty_; }  // something is not on disk yet
+    bool has_unwritten() const { return writes_.busy() || dirty_; }  // something is not on disk yet
     bool writing() const { return writes_.busy(); }
-    bool undecided() const { return owes() && fault_.empty(); }  // and no write of it has failed so far
-    Micros silent_for() const { return writes_.busy_for(); }     // since the write under way began
-    std::string missing() const;                                 // why not all is on disk yet; empty: it is
+    bool outcome_unknown() const {
+        return has_unwritten() && fault_.empty();
+    }  // and no write of it has failed so far
+    Micros write_running_for() const { return writes_.running_for(); }  // since the write under way began
+    std::string unwritten_reason() const;  // why not all is on disk yet; empty: it is
     std::uint64_t written() const { return written_; }
     Micros longest_write() const { return longest_write_; }
 
@@ -41,14 +43,14 @@
 
     Loop& loop_;
     std::string name_;
-    Put put_;
-    OffLoop writes_;
+    Write put_;
+    BackgroundTask writes_;
     std::function<void()> settled_;
     std::string text_, fault_;  // the newest, and how the last write failed
     bool dirty_ = false;        // the newest is in no write that is under way or done
     std::uint64_t written_ = 0;
     Micros longest_write_ = 0;
-    std::optional<base::Deadlines::Key> again_;
+    std::optional<base::TimerQueue::Key> again_;
 };
 
 }  // namespace sumackeel::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -58,12 +58,12 @@
     return -error;
 }
 
-int bind_at_start(const Place& place) {
+int bind_at_start(const ListenAddress& place) {
     sockaddr_in address{};
-    if (!read_address(place.address, address))
+    if (!parse_address(place.address, address))
         throw std::runtime_error("can't listen on " + place.address + ": no address");
     int fd = -1;
-    const int failed = base::retry_at_start([&] {
+    const int failed = base::retry_at_startup([&] {
         fd = listening_socket(address, place.backlog);
         return fd < 0 ? fd : 0;
     });
@@ -91,7 +91,7 @@
         throw std::runtime_error(what + "does not listen");
 }
 
-Listener::Listener(Loop& loop, const Place& place, std::function<void()> on_ready)
+Listener::Listener(Loop& loop, const ListenAddress& place, std::function<void()> on_ready)
     : loop_(loop), on_ready_(std::move(on_ready)) {
     if (place.inherited >= 0)
         check_listening(place.inherited);
@@ -134,18 +134,18 @@
             back_off(error);
             return -1;
         }
-        thread_local log::Sparing line;
+        thread_local log::RateLimitedLogger line;
         if (error != EINTR) line.warn("a connection could not be taken: {}", base::describe_error(error));
     }
     return -1;
 }
 
 void Listener::back_off(int error) {
-    thread_local log::Sparing line;
+    thread_local log::RateLimitedLogger line;
     line.warn("no connection can be taken for now: {}", base::describe_error(error));
     short_ = true;
     uv_poll_stop(poll_);
-    loop_.deadlines().set(loop_.clock().now() + kAcceptAgain, [this, alive = std::weak_ptr<bool>(alive_)] {
+    loop_.timers().schedule(loop_.clock().now() + kAcceptAgain, [this, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired() || fd_ < 0) return;
         short_ = false;
         if (!paused_) start_polling();
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -16,10 +16,10 @@
 namespace sumackeel::net {
 
 // Where a listener is: an address to bind, or a descriptor handed in that listens already.
-struct Place {
-    Place(const std::string& at) : address(at) {}  // NOLINT: an address is the usual place
-    Place(const char* at) : address(at) {}         // NOLINT
-    Place(const std::string& at, int fd) : address(at), inherited(fd) {}
+struct ListenAddress {
+    ListenAddress(const std::string& at) : address(at) {}  // NOLINT: an address is the usual place
+    ListenAddress(const char* at) : address(at) {}         // NOLINT
+    ListenAddress(const std::string& at, int fd) : address(at), inherited(fd) {}
     static constexpr int kUsualBacklog = 1024;
     std::string address;
     int inherited = -1;           // below 0: none; `address` is then bound
@@ -33,7 +33,7 @@
   public:
     // Waits out a shortage of descriptors; throws with one plain line where the address can't be listened on.
     // `on_ready` is called from the loop, turn after turn, while connections wait and it is not paused.
-    Listener(Loop& loop, const Place& place, std::function<void()> on_ready);
+    Listener(Loop& loop, const ListenAddress& place, std::function<void()> on_ready);
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
@@ -46,7 +46,7 @@
     // How many connections wait in the system's queue, by its own account; 0 where it can't tell.
     int waiting() const;
     // accept() failed for want of descriptors or memory a moment ago; on_ready comes again by itself.
-    bool is_short() const { return short_; }
+    bool lacks_resources() const { return short_; }
     void pause();
     void resume();
     // Danger: what waits in the queue is reset.
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -22,7 +22,7 @@
 Loop::Loop() {
     std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection is an error like any other
     std::signal(SIGXFSZ, SIG_IGN);  // and so is one to a file that may not grow
-    const int failed = base::retry_at_start([this] { return uv_loop_init(&loop_); });
+    const int failed = base::retry_at_startup([this] { return uv_loop_init(&loop_); });
     if (failed != 0) throw std::runtime_error("no event loop can be made: " + base::describe_error(failed));
     loop_.data = this;
     uv_timer_init(&loop_, &timer_);
@@ -55,7 +55,8 @@
 // reading alone for as long as something waits to be read.
 bool Loop::catches_up() {
     clock_.now();
-    if (clock_.stalled() != std::exchange(seen_stalled_, clock_.stalled())) catching_up_ = kMostCatchingUp;
+    if (clock_.total_stall_time() != std::exchange(seen_stalled_, clock_.total_stall_time()))
+        catching_up_ = kMostCatchingUp;
     if (catching_up_ == 0) return false;
     // Asked of the system anew: a wait that a signal ended, as the one that lets the process go on, tells
     // nothing.
@@ -68,7 +69,7 @@
     // Called from C, so nothing may be thrown past here. What was due is off the list before it runs.
     try {
         if (catches_up()) return;
-        deadlines_.sweep(clock_.now());
+        timers_.run_due(clock_.now());
         for (const auto& what : turns_) what();
     } catch (const std::exception& fault) {
         log::error("a turn of the loop broke off: {}", fault.what());
@@ -78,8 +79,8 @@
 void Loop::arm() {
     const Micros now = clock_.now();
     if (catching_up_ == 0) previous_look_ = std::exchange(look_, now);
-    const auto next = catching_up_ > 0 ? look_ : deadlines_.next();
-    clock_.expect(next);
+    const auto next = catching_up_ > 0 ? look_ : timers_.next_deadline();
+    clock_.expect_wakeup(next);
     if (!next) {
         uv_timer_stop(&timer_);
         return;
@@ -90,7 +91,7 @@
         &timer_, [](uv_timer_t*) {}, static_cast<std::uint64_t>((wait + 999) / 1000), 0);
 }
 
-bool read_address(const std::string& text, sockaddr_in& address) {
+bool parse_address(const std::string& text, sockaddr_in& address) {
     const auto colon = text.rfind(':');
     if (colon == std::string::npos) return false;
     int port = -1;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "base/deadlines.h"
+#include "base/timer_queue.h"
 
 namespace sumackeel::net {
 
@@ -27,16 +27,16 @@
     void stop() { uv_stop(&loop_); }
     uv_loop_t* raw() { return &loop_; }
     base::Clock& clock() { return clock_; }
-    base::Deadlines& deadlines() { return deadlines_; }
+    base::TimerQueue& timers() { return timers_; }
     // What is read goes here, and is used up before the next read. Danger: shared between loops, bytes of one
     // loop's connection would be taken for another's.
-    std::vector<char>& read_room() { return read_room_; }
+    std::vector<char>& read_buffer() { return read_buffer_; }
     // What becomes readable in this turn arrived after this moment: the turn before had looked by then.
-    Micros looked_at() const { return previous_look_; }
+    Micros last_poll_at() const { return previous_look_; }
     // For how long this turn has been at work: what came since it began is not read yet.
-    Micros turn_age() const { return static_cast<Micros>(uv_hrtime() / 1'000 - uv_now(&loop_) * 1'000); }
+    Micros iteration_age() const { return static_cast<Micros>(uv_hrtime() / 1'000 - uv_now(&loop_) * 1'000); }
     // Called at the end of each turn, after the deadlines.
-    void each_turn(std::function<void()> what) { turns_.push_back(std::move(what)); }
+    void on_each_iteration(std::function<void()> what) { turns_.push_back(std::move(what)); }
 
   private:
     void turn();
@@ -51,23 +51,23 @@
     int catching_up_ = 0;                  // turns that may still be spent on reading alone
     Micros seen_stalled_ = 0;              // of the clock's stalled()
     Micros look_ = 0, previous_look_ = 0;  // when this turn and the one before began to wait for events
-    base::Deadlines deadlines_;
+    base::TimerQueue timers_;
     std::vector<std::function<void()>> turns_;
-    std::vector<char> read_room_ = std::vector<char>(256 * 1024);
+    std::vector<char> read_buffer_ = std::vector<char>(256 * 1024);
 };
 
 // Sockets that may still be opened, and the bytes given to them that are not sent. At its end things are
 // refused, never broken.
-class Budget {
+class SocketBudget {
   public:
-    explicit Budget(int most) : shared_(std::make_shared<Shared>(most)) {}
-    bool take() { return shared_->used < shared_->most ? ++shared_->used, true : false; }
-    void give_back() { --shared_->used; }
-    void unsent(std::ptrdiff_t more) { shared_->unsent += more; }
-    std::size_t unsent() const { return static_cast<std::size_t>(shared_->unsent); }
-    void set_most(int most) { shared_->most = most; }
-    int most() const { return shared_->most; }
-    int left() const { return shared_->most - shared_->used; }
+    explicit SocketBudget(int most) : shared_(std::make_shared<Shared>(most)) {}
+    bool acquire() { return shared_->used < shared_->most ? ++shared_->used, true : false; }
+    void release() { --shared_->used; }
+    void unsent_bytes(std::ptrdiff_t more) { shared_->unsent += more; }
+    std::size_t unsent_bytes() const { return static_cast<std::size_t>(shared_->unsent); }
+    void set_limit(int most) { shared_->most = most; }
+    int limit() const { return shared_->most; }
+    int available() const { return shared_->most - shared_->used; }
 
   private:
     struct Shared {
@@ -79,6 +79,6 @@
 };
 
 // "10.0.0.4:9090" as a socket address; false: it is none.
-bool read_address(const std::string& text, sockaddr_in& address);
+bool parse_address(const std::string& text, sockaddr_in& address);
 
 }  // namespace sumackeel::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -22,25 +22,25 @@
 
 }  // namespace
 
-Stream::Stream(Loop& loop, Budget& budget, Owner& owner) : budget_(budget), owner_(&owner) {
+Stream::Stream(Loop& loop, SocketBudget& budget, Handler& owner) : budget_(budget), handler_(&owner) {
     uv_tcp_init(loop.raw(), &tcp_);
     tcp_.data = this;
     connecting_.data = this;
     finishing_.data = this;
 }
 
-Stream* Stream::connect(Loop& loop, Budget& budget, const sockaddr_in& to, Owner& owner, int* why) {
+Stream* Stream::connect(Loop& loop, SocketBudget& budget, const sockaddr_in& to, Handler& owner, int* why) {
     if (why) *why = 0;
-    if (!budget.take()) return nullptr;
+    if (!budget.acquire()) return nullptr;
     auto* stream = new Stream(loop, budget, owner);
     const int failed =
         uv_tcp_connect(&stream->connecting_, &stream->tcp_, reinterpret_cast<const sockaddr*>(&to),
                        [](uv_connect_t* request, int status) {
                            auto* self = static_cast<Stream*>(request->data);
                            if (self->state_ == State::closed) return;
-                           if (status != 0) return self->lose(Gone::refused);
+                           if (status != 0) return self->lose(DisconnectCause::connect_failed);
                            self->start();
-                           self->owner_->opened(*self);
+                           self->handler_->on_open(*self);
                        });
     if (failed == 0) return stream;
     if (why) *why = failed;
@@ -48,8 +48,8 @@
     return nullptr;
 }
 
-Stream* Stream::adopt(Loop& loop, Budget& budget, int fd, Owner& owner) {
-    if (!budget.take()) {
+Stream* Stream::adopt(Loop& loop, SocketBudget& budget, int fd, Handler& owner) {
+    if (!budget.acquire()) {
         ::close(fd);
         return nullptr;
     }
@@ -80,20 +80,21 @@
     uv_read_start(
         as_stream(),
         [](uv_handle_t* handle, std::size_t, uv_buf_t* buffer) {
-            auto& room = static_cast<Loop*>(handle->loop->data)->read_room();
+            auto& room = static_cast<Loop*>(handle->loop->data)->read_buffer();
             *buffer = uv_buf_init(room.data(), static_cast<unsigned>(room.size()));
         },
         [](uv_stream_t* handle, ssize_t count, const uv_buf_t* buffer) {
             auto* self = static_cast<Stream*>(handle->data);
             if (self->state_ == State::closed || count == 0) return;
-            if (count < 0) return self->lose(count == UV_EOF ? Gone::ended : Gone::broken);
+            if (count < 0)
+                return self->lose(count == UV_EOF ? DisconnectCause::closed_by_peer : DisconnectCause::error);
             if (self->state_ == State::finishing) return;
             try {
-                self->owner_->received(*self, {buffer->base, static_cast<std::size_t>(count)});
+                self->handler_->on_data(*self, {buffer->base, static_cast<std::size_t>(count)});
             } catch (const std::exception& wrong) {
-                thread_local log::Sparing line;
+                thread_local log::RateLimitedLogger line;
                 line.warn("connection dropped: {}", wrong.what());
-                if (self->state_ != State::closed) self->lose(Gone::broken);
+                if (self->state_ != State::closed) self->lose(DisconnectCause::error);
             }
         });
 }
@@ -104,25 +105,25 @@
     write->request.data = this;
     const uv_buf_t buffer = uv_buf_init(write->bytes.data(), static_cast<unsigned>(write->bytes.size()));
     const auto size = static_cast<std::ptrdiff_t>(write->bytes.size());
-    budget_.unsent(size);
+    budget_.unsent_bytes(size);
     const int failed =
         uv_write(&write->request, as_stream(), &buffer, 1, [](uv_write_t* request, int status) {
             auto* self = static_cast<Stream*>(request->data);
             auto* done = reinterpret_cast<Write*>(request);
-            self->budget_.unsent(-static_cast<std::ptrdiff_t>(done->bytes.size()));
+            self->budget_.unsent_bytes(-static_cast<std::ptrdiff_t>(done->bytes.size()));
             delete done;
             if (self->state_ == State::closed) return;
-            if (status != 0) return self->lose(Gone::broken);
-            if (self->state_ == State::open) self->owner_->drained(*self);
+            if (status != 0) return self->lose(DisconnectCause::error);
+            if (self->state_ == State::open) self->handler_->on_write_drained(*self);
         });
     if (failed != 0) {
         delete write;
-        budget_.unsent(-size);
+        budget_.unsent_bytes(-size);
         // The read side tells of the broken connection; from here it would come in the middle of a call.
     }
 }
 
-void Stream::write_at_once(std::string_view bytes) {
+void Stream::write_immediately(std::string_view bytes) {
     if (state_ != State::open) return;
     // libuv does not change what it writes.
     const uv_buf_t buffer = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
@@ -131,10 +132,10 @@
     if (!bytes.empty()) write(std::string(bytes));
 }
 
-void Stream::lose(Gone how) {
-    Owner* owner = owner_;
+void Stream::lose(DisconnectCause how) {
+    Handler* owner = handler_;
     close();
-    owner->gone(*this, how);
+    owner->on_close(*this, how);
 }
 
 void Stream::close() {
@@ -144,10 +145,10 @@
         auto* self = static_cast<Stream*>(handle->data);
         delete self;
     });
-    budget_.give_back();  // libuv gives the descriptor back within uv_close
+    budget_.release();  // libuv gives the descriptor back within uv_close
 }
 
-bool Stream::unread() const {
+bool Stream::has_unread_data() const {
     uv_os_fd_t fd = -1;
     int count = 0;
     return uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp_), &fd) == 0 &&
@@ -161,7 +162,7 @@
            ioctl(fd, SIOCOUTQNSD, &count) == 0 && count > 0;
 }
 
-Micros Stream::since_last_byte() const {
+Micros Stream::time_since_last_byte() const {
     uv_os_fd_t fd = -1;
     tcp_info info{};
     socklen_t length = sizeof info;
@@ -170,7 +171,7 @@
     return told ? Micros{info.tcpi_last_data_recv} * base::kMillisecond : 0;
 }
 
-bool Stream::peer_ended() const {
+bool Stream::peer_has_closed() const {
     uv_os_fd_t fd = -1;
     char byte = 0;
     return uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp_), &fd) == 0 &&
@@ -182,18 +183,18 @@
     return uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp_), &fd) == 0 && ::shutdown(fd, SHUT_WR) == 0;
 }
 
-void Stream::finish() {
+void Stream::shutdown() {
     if (state_ == State::closed || state_ == State::finishing) return;
-    if (state_ == State::connecting) return lose(Gone::ended);
+    if (state_ == State::connecting) return lose(DisconnectCause::closed_by_peer);
     state_ = State::finishing;
     // Danger: libuv half-closes in a later turn. What comes until then would be thrown away, though its
     // sender could not know of the end yet.
-    if (unsent() == 0 && half_close()) return pause(false);
+    if (unsent_bytes() == 0 && half_close()) return pause(false);
     const int failed = uv_shutdown(&finishing_, as_stream(), [](uv_shutdown_t* request, int status) {
         auto* self = static_cast<Stream*>(request->data);
-        if (self->state_ != State::closed && status != 0) self->lose(Gone::broken);
+        if (self->state_ != State::closed && status != 0) self->lose(DisconnectCause::error);
     });
-    if (failed != 0) return lose(Gone::broken);
+    if (failed != 0) return lose(DisconnectCause::error);
     pause(false);
 }
 
--- a/src/front_platform/front.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -1,4 +1,4 @@
-#include "front_platform/front.h"
+#include "platform_server/platform_server.h"
 
 #include <algorithm>
 #include <cctype>
@@ -8,7 +8,7 @@
 
 #include "base/log.h"
 
-namespace sumackeel::front_platform {
+namespace sumackeel::platform_server {
 
 using base::Handle;
 
@@ -54,8 +54,8 @@
 
 }  // namespace
 
-struct Front::Client : net::Guest {
-    Front& front;
+struct PlatformServer::Client : net::ClientConnection {
+    PlatformServer& front;
     FrameReader reader;
     struct OpenCall {
         Handle ours, cores;    // our entry and the core's request
@@ -67,37 +67,37 @@
     bool heard = false;     // a whole frame has come
     base::Micros came = 0;  // when the last byte of what is being read came
 
-    explicit Client(Front& owner) : front(owner) {}
+    explicit Client(PlatformServer& owner) : front(owner) {}
 
-    void received(net::Stream&, std::string_view bytes) override {
-        came = arrived_at();
-        if (left_meanwhile()) return front.door_.part(*this);
+    void on_data(net::Stream&, std::string_view bytes) override {
+        came = received_at();
+        if (peer_has_left()) return front.connection_manager_.close(*this);
         reader.read(bytes, [this](std::string_view frame) {
             heard = true;
-            front.call(*this, read_call(frame));
+            front.call(*this, decode_call(frame));
             return stream() != nullptr;
         });
         front.refuse_held(*this);
         tell_door();
     }
-    void drained(net::Stream&) override { tell_door(true); }
+    void on_write_drained(net::Stream&) override { tell_door(true); }
     void tell_door(bool has_read = false) {
         if (!stream()) return;
         // Danger: what is not read is not heard, a cancellation and an end of the connection among it. So as
         // long as requests are open reading goes on, up to a further bound: refusals and answers to `alive`
         // add up too.
-        stream()->pause(stream()->unsent() > (open.empty() ? kMostUnsent : 2 * kMostUnsent));
-        const net::Doing doing = !open.empty()            ? net::Doing::busy
-                                 : stream()->unsent() > 0 ? net::Doing::unsent
-                                 : !heard                 ? net::Doing::arriving
-                                 : reader.partial()       ? net::Doing::sending
-                                                          : net::Doing::idle;
-        front.door_.now(*this, doing, has_read);
+        stream()->pause(stream()->unsent_bytes() > (open.empty() ? kMostUnsent : 2 * kMostUnsent));
+        const net::ConnectionState doing = !open.empty()                  ? net::ConnectionState::processing
+                                           : stream()->unsent_bytes() > 0 ? net::ConnectionState::flushing
+                                           : !heard           ? net::ConnectionState::awaiting_request
+                                           : reader.partial() ? net::ConnectionState::receiving
+                                                              : net::ConnectionState::idle;
+        front.connection_manager_.set_state(*this, doing, has_read);
     }
-    void left() override {
+    void on_closed() override {
         for (const auto& [seqid, one] : open) {
             front.open_.remove(one.ours);
-            front.core_.leave(one.cores);
+            front.core_.cancel(one.cores);
         }
         open.clear();
     }
@@ -106,151 +106,155 @@
     }
 };
 
-Front::Front(net::Loop& loop, core::Core& core, const config::Site& site, const net::Place& listen,
-             Limits limits)
+PlatformServer::PlatformServer(net::Loop& loop, core::Core& core, const config::Site& site,
+                               const net::ListenAddress& listen, Limits limits)
     : core_(core),
       site_(site),
       limits_(limits),
       loop_(loop),
-      door_(loop, listen, limits.connections, {.request = kRequestIn, .idle = kIdle, .reading = kReading},
-            [this] { return std::make_unique<Client>(*this); }) {}
+      connection_manager_(loop, listen, limits.connections,
+                          {.request = kRequestIn, .idle = kIdle, .write = kReading},
+                          [this] { return std::make_unique<Client>(*this); }) {}
 
 // What no cache could use is turned away here: sent on, it would count against the caches that can't use it.
-bool Front::read_ask(Call& call, core::Ask& ask) const {
+bool PlatformServer::read_ask(ThriftCall& call, core::Request& ask) const {
     const auto kind = text(call.fields, "kind");
     const auto place = std::find(site_.classes.begin(), site_.classes.end(), kind);
     if (place == site_.classes.end()) return false;
-    ask.service = static_cast<int>(place - site_.classes.begin());
-    ask.service_name = kind;
+    ask.class_index = static_cast<int>(place - site_.classes.begin());
+    ask.class_name = kind;
     ask.id = text(call.fields, "req");
     ask.object = text(call.fields, "subject");
-    ask.have = text(call.fields, "seen");
+    ask.client_etag = text(call.fields, "seen");
     // The origin drops repeats by this key alone. Sent on without one a request could run twice.
-    const bool keyed = site_.settings.classes[ask.service].semantics == nettlethread::Semantics::keyed;
+    const bool keyed =
+        site_.settings.classes[ask.class_index].retry_safety == routing::RetrySafety::with_idempotency_key;
     if (keyed) ask.idempotency_key = text(call.fields, "opkey");
     if (keyed && (ask.idempotency_key.empty() || !plain(ask.idempotency_key))) return false;
-    const bool kept = !site_.settings.classes[ask.service].uncached;
-    if (!hex_name(ask.id) || !plain(ask.have) || call.body.size() > kLongestBody) return false;
+    const bool kept = !site_.settings.classes[ask.class_index].uncacheable;
+    if (!hex_name(ask.id) || !plain(ask.client_etag) || call.body.size() > kLongestBody) return false;
     if (!hex_name(ask.object) && (kept || !ask.object.empty())) return false;
     std::int64_t timeout_ms = 0;
     const bool sound = figure<std::int64_t>(call.fields, "timeout", 1, kLongestWait / 1000, timeout_ms) &&
                        figure(call.fields, "slice", 0, kMostParts, ask.part) &&
-                       figure(call.fields, "set", 0, 255, ask.group) &&
+                       figure(call.fields, "set", 0, 255, ask.purge_group) &&
                        figure(call.fields, "need", 0.0, kMostNeed, ask.size_kb);
     if (!sound || timeout_ms == 0) return false;
-    ask.left = timeout_ms * 1000;
+    ask.time_left = timeout_ms * 1000;
     ask.body = std::move(call.body);
     return true;
 }
 
-void Front::call(Client& client, Call call) {
-    switch (call.verb) {
-        case Verb::alive:
-            return client.stream()->write(write_alive(call.seqid, ready_));
-        case Verb::unknown:
-            return client.stream()->write(write_unknown(call.name, call.seqid));
-        case Verb::cancel: {
+void PlatformServer::call(Client& client, ThriftCall call) {
+    switch (call.method) {
+        case Method::alive:
+            return client.stream()->write(encode_alive(call.seqid, ready_));
+        case Method::unknown:
+            return client.stream()->write(encode_unknown_method(call.name, call.seqid));
+        case Method::cancel: {
             const auto found = client.open.find(call.cancelled);
             if (found == client.open.end()) return;  // answered already
             const Client::OpenCall one = found->second;
             client.open.erase(found);
             open_.remove(one.ours);
-            return core_.leave(one.cores);
+            return core_.cancel(one.cores);
         }
-        case Verb::dispatch:
+        case Method::dispatch:
             break;
     }
     if (call.seqid <= client.last_seqid) throw FrameError("sequence numbers don't rise");
     client.last_seqid = call.seqid;
     const base::Micros now = loop_.clock().now();
-    const bool refuses = door_.drain().refuses(now);
+    const bool refuses = connection_manager_.drain().rejects_new_requests(now);
     if (refuses) hurry(client, now);
-    core::Ask ask;
+    core::Request ask;
     if (!read_ask(call, ask) || core_.is_open(ask.id))
-        return client.stream()->write(write_answer(call.seqid, {}));
-    const bool unread = door_.unsent() > limits_.unsent_bytes;
-    if (unread) door_.let_go_slowest(client);
+        return client.stream()->write(encode_response(call.seqid, {}));
+    const bool unread = connection_manager_.unsent_bytes() > limits_.unsent_bytes;
+    if (unread) connection_manager_.evict_slowest_reader(client);
     const bool crowded =
-        client.open.size() >= kMostOpen || unread || client.stream()->unsent() > kMostUnsent ||
-        core_.open_requests() >= static_cast<std::size_t>(std::max(1, site_.settings.most_held));
-    ask.came = client.came;  // from then on the time runs
-    if (crowded || ask.came + ask.left <= now)
-        return client.stream()->write(write_answer(call.seqid, {.how = core::Answered::refused}));
-    if (refuses) return turn_away(client, call.seqid, ask.came + ask.left - now, now);
-    const Handle ours = open_.add({client.number(), call.seqid});
-    const Handle cores = core_.take(std::move(ask), *this, ours.number());
+        client.open.size() >= kMostOpen || unread || client.stream()->unsent_bytes() > kMostUnsent ||
+        core_.open_requests() >= static_cast<std::size_t>(std::max(1, site_.settings.max_in_flight));
+    ask.received_at = client.came;  // from then on the time runs
+    if (crowded || ask.received_at + ask.time_left <= now)
+        return client.stream()->write(
+            encode_response(call.seqid, {.status = core::ResponseStatus::rejected}));
+    if (refuses) return turn_away(client, call.seqid, ask.received_at + ask.time_left - now, now);
+    const Handle ours = open_.add({client.id(), call.seqid});
+    const Handle cores = core_.submit(std::move(ask), *this, ours.number());
     client.open[call.seqid] = {ours, cores};
 }
 
 // What is open on a connection on which requests go on coming late in a drain: it may not hold up the moment
 // with nothing open beyond the drain's own time.
-void Front::hurry(Client& client, base::Micros now) {
+void PlatformServer::hurry(Client& client, base::Micros now) {
     for (auto& [seqid, one] : client.open) {
         if (one.held || std::exchange(one.hurried, true)) continue;
-        ++drain_figures_.hurried;
-        core_.answer_by(one.cores, door_.drain().answer_by(now));
+        ++drain_metrics_.hurried;
+        core_.set_response_deadline(one.cores, connection_manager_.drain().response_deadline(now));
     }
 }
 
 // A request that comes late in a drain is refused, so that its connection gets a moment with nothing open.
-void Front::turn_away(Client& client, std::int32_t seqid, base::Micros left, base::Micros now) {
-    ++drain_figures_.refused;
+void PlatformServer::turn_away(Client& client, std::int32_t seqid, base::Micros left, base::Micros now) {
+    ++drain_metrics_.rejected;
     if (!client.waits_for_core())
-        return client.stream()->write(write_answer(seqid, {.how = core::Answered::refused}));
-    ++drain_figures_.held;
-    const Handle ours = open_.add({client.number(), seqid});
+        return client.stream()->write(encode_response(seqid, {.status = core::ResponseStatus::rejected}));
+    ++drain_metrics_.held;
+    const Handle ours = open_.add({client.id(), seqid});
     client.open[seqid] = {.ours = ours, .cores = {}, .held = true};
-    log::debug("connection={} seqid={} held by the drain", client.number(), seqid);
-    loop_.deadlines().set(door_.drain().refuse_by(now, left),
-                          [this, ours, alive = std::weak_ptr<bool>(alive_)] {
-                              if (!alive.expired()) answer(ours.number(), {.how = core::Answered::refused});
-                          });
+    log::debug("connection={} seqid={} held by the drain", client.id(), seqid);
+    loop_.timers().schedule(connection_manager_.drain().rejection_deadline(now, left),
+                            [this, ours, alive = std::weak_ptr<bool>(alive_)] {
+                                if (!alive.expired())
+                                    on_response(ours.number(), {.status = core::ResponseStatus::rejected});
+                            });
 }
 
 // Once nothing else is open on their connection.
-void Front::refuse_held(Client& client) {
+void PlatformServer::refuse_held(Client& client) {
     if (!client.stream() || client.waits_for_core()) return;
     for (const auto& [seqid, one] : std::exchange(client.open, {})) {
         open_.remove(one.ours);
-        client.stream()->write(write_answer(seqid, {.how = core::Answered::refused}));
+        client.stream()->write(encode_response(seqid, {.status = core::ResponseStatus::rejected}));
     }
 }
 
-void Front::send_away(bool on, const ops::Drain& drain) {
-    const bool over = door_.drain().on() && !drain.on();
-    door_.set_drain(drain);
-    door_.send_away(on);
+void PlatformServer::set_draining(bool on, const admin::DrainSchedule& drain) {
+    const bool over = connection_manager_.drain().is_active() && !drain.is_active();
+    connection_manager_.set_drain(drain);
+    connection_manager_.set_draining(on);
     if (over) end_drain();
 }
 
 // What was held is refused, and what was hurried has its own time again.
-void Front::end_drain() {
+void PlatformServer::end_drain() {
     std::vector<std::uint64_t> held;
-    open_.each([&](Handle ours, const Open& open) {
-        auto* client = static_cast<Client*>(door_.find(open.client));
+    open_.for_each([&](Handle ours, const Open& open) {
+        auto* client = static_cast<Client*>(connection_manager_.find(open.client));
         if (!client) return;
         const auto found = client->open.find(open.seqid);
         if (found == client->open.end()) return;
         if (found->second.held) return held.push_back(ours.number());
         found->second.hurried = false;
-        core_.answer_by(found->second.cores, std::nullopt);
+        core_.set_response_deadline(found->second.cores, std::nullopt);
     });
-    for (const std::uint64_t ours : held) answer(ours, {.how = core::Answered::refused});
+    for (const std::uint64_t ours : held) on_response(ours, {.status = core::ResponseStatus::rejected});
 }
 
-void Front::answer(std::uint64_t cookie, core::Reply reply) {
+void PlatformServer::on_response(std::uint64_t cookie, core::Response reply) {
     const Handle ours = Handle::of(cookie);
     const Open* open = open_.find(ours);
     if (!open) return;
     const auto [number, seqid] = *open;
     open_.remove(ours);
-    auto* found = static_cast<Client*>(door_.find(number));
+    auto* found = static_cast<Client*>(connection_manager_.find(number));
     if (!found) return;
     Client& client = *found;
     client.open.erase(seqid);
-    client.stream()->write(write_answer(seqid, reply));
+    client.stream()->write(encode_response(seqid, reply));
     refuse_held(client);
     client.tell_door();
 }
 
-}  // namespace sumackeel::front_platform
+}  // namespace sumackeel::platform_server
--- a/src/front_platform/thrift.cpp
+++ b/src/platform_server/thrift_codec.cpp
@@ -1,4 +1,4 @@
-#include "front_platform/thrift.h"
+#include "platform_server/thrift_codec.h"
 
 #include <thrift/TApplicationException.h>
 #include <thrift/protocol/TBinaryProtocol.h>
@@ -9,7 +9,7 @@
 #include <memory>
 #include <utility>
 
-namespace sumackeel::front_platform {
+namespace sumackeel::platform_server {
 
 namespace tp = apache::thrift::protocol;
 using apache::thrift::TApplicationException;
@@ -131,26 +131,26 @@
     rest_ = bytes;
 }
 
-Call read_call(std::string_view frame) {
+ThriftCall decode_call(std::string_view frame) {
     try {
         const auto memory =
             std::make_shared<TMemoryBuffer>(reinterpret_cast<std::uint8_t*>(const_cast<char*>(frame.data())),
                                             static_cast<std::uint32_t>(frame.size()), TMemoryBuffer::OBSERVE);
         Protocol in(memory, kLongestText, kMostFields, true, true);
-        Call call;
+        ThriftCall call;
         tp::TMessageType type;
         in.readMessageBegin(call.name, type, call.seqid);
         if (type != tp::T_CALL && type != tp::T_ONEWAY) throw FrameError("a frame that is no call");
-        call.verb = call.name == "dispatch"        ? Verb::dispatch
-                    : call.name == "cancelRequest" ? Verb::cancel
-                    : call.name == "alive"         ? Verb::alive
-                                                   : Verb::unknown;
+        call.method = call.name == "dispatch"        ? Method::dispatch
+                      : call.name == "cancelRequest" ? Method::cancel
+                      : call.name == "alive"         ? Method::alive
+                                                     : Method::unknown;
         read_struct(in, [&](tp::TType field, std::int16_t id) {
-            if (call.verb == Verb::dispatch && id == 1 && field == tp::T_MAP)
+            if (call.method == Method::dispatch && id == 1 && field == tp::T_MAP)
                 call.fields = read_map(in);
-            else if (call.verb == Verb::dispatch && id == 2 && field == tp::T_STRING)
+            else if (call.method == Method::dispatch && id == 2 && field == tp::T_STRING)
                 in.readBinary(call.body);
-            else if (call.verb == Verb::cancel && id == 1 && field == tp::T_I32)
+            else if (call.method == Method::cancel && id == 1 && field == tp::T_I32)
                 in.readI32(call.cancelled);
             else
                 return false;
@@ -163,17 +163,18 @@
     }
 }
 
-std::string write_answer(std::int32_t seqid, const core::Reply& reply) {
-    using core::Answered;
+std::string encode_response(std::int32_t seqid, const core::Response& reply) {
+    using core::ResponseStatus;
     return framed(reply.body.size() + 256, [&](Protocol& out) {
         out.writeMessageBegin("dispatch", tp::T_REPLY, seqid);
         out.writeStructBegin("dispatch_result");
         std::map<std::string, std::string> fields;
-        if (reply.how == Answered::served || reply.how == Answered::same) {
-            if (reply.how == Answered::same) fields["current"] = "1";
-            write_result(out, reply.how == Answered::same ? std::string{} : reply.body, fields, true);
-        } else if (reply.how == Answered::refused) {
-            if (reply.come_back > 0) fields["holdoff"] = std::to_string((reply.come_back + 999) / 1000);
+        if (reply.status == ResponseStatus::served || reply.status == ResponseStatus::not_modified) {
+            if (reply.status == ResponseStatus::not_modified) fields["current"] = "1";
+            write_result(out, reply.status == ResponseStatus::not_modified ? std::string{} : reply.body,
+                         fields, true);
+        } else if (reply.status == ResponseStatus::rejected) {
+            if (reply.retry_after > 0) fields["holdoff"] = std::to_string((reply.retry_after + 999) / 1000);
             write_exception(out, 1, fields);
         } else {
             write_exception(out, 2, fields);
@@ -184,7 +185,7 @@
     });
 }
 
-std::string write_alive(std::int32_t seqid, bool good) {
+std::string encode_alive(std::int32_t seqid, bool good) {
     return framed(128, [&](Protocol& out) {
         out.writeMessageBegin("alive", tp::T_REPLY, seqid);
         out.writeStructBegin("alive_result");
@@ -194,7 +195,7 @@
     });
 }
 
-std::string write_unknown(const std::string& name, std::int32_t seqid) {
+std::string encode_unknown_method(const std::string& name, std::int32_t seqid) {
     return framed(256, [&](Protocol& out) {
         out.writeMessageBegin(name, tp::T_EXCEPTION, seqid);
         TApplicationException(TApplicationException::UNKNOWN_METHOD, "no such method").write(&out);
@@ -202,4 +203,4 @@
     });
 }
 
-}  // namespace sumackeel::front_platform
+}  // namespace sumackeel::platform_server
--- a/src/front_platform/thrift.h
+++ b/src/platform_server/thrift_codec.h
@@ -10,17 +10,17 @@
 
 #include "core/core.h"
 
-namespace sumackeel::front_platform {
+namespace sumackeel::platform_server {
 
 class FrameError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
-enum class Verb { dispatch, cancel, alive, unknown };
+enum class Method { dispatch, cancel, alive, unknown };
 
-struct Call {
-    Verb verb = Verb::unknown;
+struct ThriftCall {
+    Method method = Method::unknown;
     std::string name;
     std::int32_t seqid = 0;
     std::map<std::string, std::string> fields;
@@ -39,10 +39,10 @@
     std::string rest_;
 };
 
-Call read_call(std::string_view frame);  // throws FrameError
-std::string write_answer(std::int32_t seqid, const core::Reply& reply);
+ThriftCall decode_call(std::string_view frame);  // throws FrameError
+std::string encode_response(std::int32_t seqid, const core::Response& reply);
 // `good`: this proxy takes work. The front asks it every 0.1 s and sends no new clients after a no.
-std::string write_alive(std::int32_t seqid, bool good);
-std::string write_unknown(const std::string& name, std::int32_t seqid);
+std::string encode_alive(std::int32_t seqid, bool good);
+std::string encode_unknown_method(const std::string& name, std::int32_t seqid);
 
-}  // namespace sumackeel::front_platform
+}  // namespace sumackeel::platform_server
--- a/src/recovery/budget.cpp
+++ b/src/recovery/fill_budget.cpp
@@ -1,4 +1,4 @@
-#include "recovery/budget.h"
+#include "recovery/fill_budget.h"
 
 #include <algorithm>
 #include <cmath>
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Budget::Budget(double origin_per_s, double hubs_per_s, std::vector<double> worths, std::uint64_t seed)
+FillBudget::FillBudget(double origin_per_s, double hubs_per_s, std::vector<double> worths, std::uint64_t seed)
     : meters_{Meter{.per_s = origin_per_s, .first = kFirstOrigin, .rises = kRisesOrigin},
               Meter{.per_s = hubs_per_s, .first = kFirstHubs, .rises = kRisesHubs}},
       worths_(std::move(worths)),
@@ -39,7 +39,7 @@
     for (Meter& meter : meters_) meter.tokens = std::uniform_real_distribution<>(0, kLeastBucket)(chance_);
 }
 
-void Budget::Meter::fill(Micros passed, double part, Micros primed_for) {
+void FillBudget::Meter::fill(Micros passed, double part, Micros primed_for) {
     const double risen = std::min(1.0, static_cast<double>(primed_for) / static_cast<double>(rises));
     const double now_per_s = per_s * part * (first + (1 - first) * risen);
     bucket = std::max(kLeastBucket, now_per_s * kBucketS);
@@ -47,13 +47,13 @@
 }
 
 // One that costs more than a bucket holds goes at a full one and leaves a debt.
-bool Budget::Meter::bears(double cost, double closed) const {
+bool FillBudget::Meter::bears(double cost, double closed) const {
     const double open = closed * (bucket - kLeastBucket);
     return tokens - open >= std::min(cost, bucket - open) - 1e-9;
 }
 
-bool Budget::primed(Micros now, std::uint64_t key) {
-    while (!order_.empty() && (order_.front().first + kPrimedFor < now || order_.size() > kMostPrimed)) {
+bool FillBudget::primed(Micros now, std::uint64_t key) {
+    while (!order_.empty() && (order_.front().first + kPrimedFor < now || order_.size() > kMaxPrimedKeys)) {
         const auto found = primed_.find(order_.front().second);
         if (found != primed_.end() && found->second.at == order_.front().first) primed_.erase(found);
         order_.pop_front();
@@ -61,12 +61,12 @@
     return primed_.contains(key);
 }
 
-Micros Budget::come_back(Micros left) {
+Micros FillBudget::come_back(Micros left) {
     const Micros end = std::clamp(left, 2 * kSoonest, kLatest);
     return std::uniform_int_distribution<Micros>(kSoonest, end)(chance_);
 }
 
-std::optional<Micros> Budget::turn_away(Micros now, const Asked& asked, double share, Micros primed_for,
+std::optional<Micros> FillBudget::admit(Micros now, const RequestCost& asked, double share, Micros primed_for,
                                         Micros left) {
     const auto let = [&] { return ++let_through_, std::nullopt; };
     if (!asked.needs_copy) return let();
@@ -85,7 +85,8 @@
         asked.size_kb > kFirstKb * std::pow(kStepUp, static_cast<double>(step)))
         return ++turned_away_, ++too_large_, come_back(left);
     const double size = std::clamp(asked.size_kb / kUsualKb, 1.0, kMostCost);
-    const auto above = worths_.end() - std::upper_bound(worths_.begin(), worths_.end(), asked.worth);
+    const auto above =
+        worths_.end() - std::upper_bound(worths_.begin(), worths_.end(), asked.priority_weight);
     const double closed =
         worths_.size() > 1 ? kReserve * static_cast<double>(above) / static_cast<double>(worths_.size() - 1)
                            : 0;
@@ -99,11 +100,11 @@
     return let();
 }
 
-void Budget::ended(std::uint64_t key, Took took) {
+void FillBudget::on_request_finished(std::uint64_t key, FillSource took) {
     const auto found = primed_.find(key);
     if (found == primed_.end() || found->second.size == 0) return;
     Primed& one = found->second;
-    const std::array<bool, 2> filled{took == Took::origin, took != Took::nothing};
+    const std::array<bool, 2> filled{took == FillSource::origin, took != FillSource::none};
     for (std::size_t i = 0; i < meters_.size(); ++i) {
         meters_[i].tokens += one.taken[i] - (filled[i] ? one.size : 0);
         meters_[i].share =
--- a/src/recovery/budget.h
+++ b/src/recovery/fill_budget.h
@@ -23,33 +23,33 @@
 
 using base::Micros;
 
-constexpr std::size_t kMostPrimed = 65'536;
+constexpr std::size_t kMaxPrimedKeys = 65'536;
 
-struct Asked {
-    std::uint64_t key = 0;  // of the object and part
-    double worth = 1;       // of its class
+struct RequestCost {
+    std::uint64_t key = 0;       // of the object and part
+    double priority_weight = 1;  // of its class
     double size_kb = 0;
     bool needs_copy = true;  // false: leaves no copy and fills none, as `enrol`
     bool any_size = false;   // of a process that only stood still: the caches are as warm as they were
 };
 
 // What a request that was served took.
-enum class Took : std::uint8_t { nothing, hub, origin };  // origin: by way of a hub, or straight
+enum class FillSource : std::uint8_t { none, hub, origin };  // origin: by way of a hub, or straight
 
-class Budget {
+class FillBudget {
   public:
     // Fills a second of all proxies. `worths`: of each class, for the order in which they are turned away.
-    Budget(double origin_per_s, double hubs_per_s, std::vector<double> worths, std::uint64_t seed);
+    FillBudget(double origin_per_s, double hubs_per_s, std::vector<double> worths, std::uint64_t seed);
 
     // `share`: how many proxies it is divided by. `primed_for`: since the beginning of priming; below 0:
     // nothing that needs a copy yet. `left`: until serving at the latest.
     // None: let through. Else when to come back.
-    std::optional<Micros> turn_away(Micros now, const Asked& asked, double share, Micros primed_for,
-                                    Micros left);
-    void ended(std::uint64_t key, Took took);
+    std::optional<Micros> admit(Micros now, const RequestCost& asked, double share, Micros primed_for,
+                                Micros left);
+    void on_request_finished(std::uint64_t key, FillSource took);
 
-    std::uint64_t let_through() const { return let_through_; }
-    std::uint64_t turned_away() const { return turned_away_; }
+    std::uint64_t admitted() const { return let_through_; }
+    std::uint64_t rejected() const { return turned_away_; }
     std::uint64_t too_large() const { return too_large_; }  // of those: for the step that they came in
 
   private:
--- a/src/recovery/kept.cpp
+++ b/src/recovery/persisted_state.cpp
@@ -1,4 +1,4 @@
-#include "recovery/kept.h"
+#include "recovery/persisted_state.h"
 
 #include <algorithm>
 #include <charconv>
@@ -18,7 +18,7 @@
 }
 
 bool sound(std::string_view name) {
-    return !name.empty() && name.size() <= kLongestName &&
+    return !name.empty() && name.size() <= kMaxNameLength &&
            std::all_of(name.begin(), name.end(), [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
@@ -32,17 +32,17 @@
 
 }  // namespace
 
-std::string encode(const Kept& kept) {
-    std::string body = fmt::format("{}{}\nstage {}\n", kFirst, kKeptVersion, name_of(kept.stage));
+std::string encode(const PersistedState& kept) {
+    std::string body = fmt::format("{}{}\nstage {}\n", kFirst, kStateVersion, name_of(kept.phase));
     for (const std::string& member : kept.members) body += fmt::format("member {}\n", member);
-    if (kept.drain) body += "drain on\n";
+    if (kept.draining) body += "drain on\n";
     for (const std::string& ban : kept.bans) body += fmt::format("down {}\n", ban);
     for (const std::string& id : kept.leased) body += fmt::format("leased {}\n", id);
     return body + std::string(kSum) + sum_of(body) + "\n";
 }
 
-std::string decode(std::string_view text, Kept& kept) {
-    if (text.size() > kLongestKept) return "too long";
+std::string decode(std::string_view text, PersistedState& kept) {
+    if (text.size() > kMaxStateBytes) return "too long";
     if (text.empty() || text.back() != '\n') return "torn: no end of line at its end";
     if (!text.starts_with(kFirst)) return "not a file of this kind";
     const std::size_t last = text.substr(0, text.size() - 1).rfind('\n') + 1;
@@ -51,9 +51,9 @@
         return "its checksum does not hold";
     std::string_view rest = body;
     const std::string_view version = line_of(rest).substr(kFirst.size());
-    if (version != std::to_string(kKeptVersion))
-        return fmt::format("version {}, this program reads {}", version, kKeptVersion);
-    Kept found;
+    if (version != std::to_string(kStateVersion))
+        return fmt::format("version {}, this program reads {}", version, kStateVersion);
+    PersistedState found;
     while (!rest.empty()) {
         const std::string_view line = line_of(rest);
         const auto blank = line.find(' ');
@@ -63,12 +63,12 @@
                                        : word == "down"   ? &found.bans
                                        : word == "leased" ? &found.leased
                                                           : nullptr;
-        if (word == "stage" ? !stage_named(value, found.stage)
-            : names         ? !sound(value) || names->size() >= kMostNames
+        if (word == "stage" ? !phase_named(value, found.phase)
+            : names         ? !sound(value) || names->size() >= kMaxNames
                             : line != "drain on")
             return fmt::format("a line that can't be read: {}", line);
         if (names) names->insert(value);
-        found.drain = found.drain || line == "drain on";
+        found.draining = found.draining || line == "drain on";
     }
     kept = std::move(found);
     return {};
--- a/src/recovery/ladder.h
+++ b/src/recovery/recovery_phases.h
@@ -16,68 +16,71 @@
 
 using base::Micros;
 
-enum class Stage : std::uint8_t { reading, asking, settling, priming, serving };
-const char* name_of(Stage stage);
+enum class Phase : std::uint8_t { reading, asking, settling, priming, serving };
+const char* name_of(Phase stage);
 // False: there is no such stage.
-bool stage_named(const std::string& name, Stage& stage);
+bool phase_named(const std::string& name, Phase& stage);
 
-struct Options {
+struct PhaseOptions {
     Micros ask = 2'000'000, settle = 5'000'000, prime = 60'000'000;  // latest: at the end of each stage
     Micros pause = 5'000'000;                                        // own silence that counts as a pause
     bool elects = false;  // there is an agreed log, whose leader is waited for
 };
 
 // What another member answered.
-struct Heard {
+struct MemberReport {
     std::string from;
-    Stage stage = Stage::reading;
-    bool living = false;  // it serves, with most of the fleet round it
-    bool sure = false;    // its list was confirmed lately, so the purges it told are all there are
+    Phase phase = Phase::reading;
+    bool serving_fleet = false;     // it serves, with most of the fleet round it
+    bool purges_confirmed = false;  // its list was confirmed lately, so the purges it told are all there are
 };
 
-constexpr std::size_t kMostHeard = 4'096;
-constexpr Micros kReadWithin = 2'000'000;
-constexpr Micros kCalm =
+constexpr std::size_t kMaxReports = 4'096;
+constexpr Micros kReadTimeout = 2'000'000;
+constexpr Micros kQuietPeriod =
     3'000'000;  // of priming: nothing turned away for so long, and the rest is not needed
 
-class Ladder {
+class RecoveryPhases {
   public:
-    Ladder(const Options& options, Micros now);
+    RecoveryPhases(const PhaseOptions& options, Micros now);
 
     // Events, each told when it happened.
-    void read(Micros now, std::size_t before);  // the own files; how many members were there, this one too
-    void answered(Micros now, const Heard& heard);
-    void counted(Micros now, std::size_t back);  // members that are there, this one too
-    void listed(Micros now);                     // a change log confirmed the list of pop caches
-    void led(Micros now, bool leader);
-    void turned_away(Micros now) { turned_away_ = now; }
+    void on_state_read(Micros now,
+                       std::size_t before);  // the own files; how many members were there, this one too
+    void on_report(Micros now, const MemberReport& heard);
+    void on_member_count(Micros now, std::size_t back);  // members that are there, this one too
+    void on_endpoints_confirmed(Micros now);             // a change log confirmed the list of pop caches
+    void on_leader_known(Micros now, bool leader);
+    void on_rejected(Micros now) { turned_away_ = now; }
     // An operator's hand: on to that stage, kept on record.
-    void go(Micros now, Stage stage, const std::string& by);
+    void advance_to(Micros now, Phase stage, const std::string& by);
     // Told at least each half second; a longer silence is a pause of this process.
     void tick(Micros now);
 
-    Stage stage() const { return stage_; }
+    Phase phase() const { return phase_; }
     Micros since() const { return since_; }
-    Micros latest() const;          // when this stage ends by time; the far future while serving
+    Micros deadline() const;        // when this stage ends by time; the far future while serving
     std::string waits_for() const;  // in words; empty: nothing
-    bool ready() const { return stage_ >= Stage::priming || paused_; }
-    bool sure() const { return sure_; }     // purges are surely known
-    bool lived() const { return living_; }  // a member of a living fleet has answered since the last `asking`
-    bool living(std::size_t back) const;    // as it tells others
-    std::size_t before() const { return before_; }
-    std::size_t back() const { return back_; }
+    bool ready() const { return phase_ >= Phase::priming || paused_; }
+    bool purges_confirmed() const { return sure_; }  // purges are surely known
+    bool found_serving_fleet() const {
+        return living_;
+    }  // a member of a living fleet has answered since the last `asking`
+    bool serving_fleet(std::size_t back) const;  // as it tells others
+    std::size_t members_before() const { return before_; }
+    std::size_t members_back() const { return back_; }
     // Why it is where it is: the last step in words.
     const std::string& reason() const { return reason_; }
     const std::string& by() const { return by_; }  // the last operator's hand; empty: none
     std::uint64_t pauses() const { return pauses_; }
 
   private:
-    void enter(Stage stage, Micros now, std::string reason);
+    void enter(Phase stage, Micros now, std::string reason);
     void look(Micros now);
     bool most(std::size_t back) const { return 2 * back > before_; }
 
-    Options options_;
-    Stage stage_ = Stage::reading;
+    PhaseOptions options_;
+    Phase phase_ = Phase::reading;
     Micros since_ = 0, ticked_ = 0, turned_away_ = 0;
     std::size_t before_ = 1, back_ = 1;
     std::set<std::string> recovering_;  // answered, and is on the ladder
--- a/src/rollout/release.cpp
+++ b/src/rollout/release.cpp
@@ -23,7 +23,8 @@
 
     [[noreturn]] void wrong(const std::string& key, const std::string& what) const {
         const auto found = table_.find(key);
-        const config::Place at = found == table_.end() ? config::Place{1, 1} : found->second.place;
+        const config::SourceLocation at =
+            found == table_.end() ? config::SourceLocation{1, 1} : found->second.place;
         throw config::ConfigError(fmt::format("{}:{}:{}: {}: {}", file_, at.line, at.column, key, what));
     }
     const config::Node* find(const std::string& key) {
@@ -66,7 +67,7 @@
     const config::Node* node = plan.find("members");
     if (!node) return all;
     const auto* list = std::get_if<config::Node::List>(&node->value);
-    if (!list || list->empty() || list->size() > kMostOfRelease)
+    if (!list || list->empty() || list->size() > kMaxReleaseMembers)
         plan.wrong("members", "a list of names is wanted");
     std::vector<std::string> members;
     for (const config::Node& one : *list) {
@@ -103,7 +104,7 @@
         if (!is_share && !(count && *count > 0))
             plan.wrong("waves", "each is a number of members, or a share like \"25%\"");
         add(is_share ? (members * static_cast<std::size_t>(percent) + 99) / 100
-                     : static_cast<std::size_t>(std::min<std::int64_t>(*count, kMostOfRelease)));
+                     : static_cast<std::size_t>(std::min<std::int64_t>(*count, kMaxReleaseMembers)));
     }
     if (left > 0) add(left);
     return waves;
@@ -111,24 +112,25 @@
 
 }  // namespace
 
-Sum& Sum::operator+=(const Sum& other) {
-    requests += other.requests, in_time += other.in_time, refused += other.refused, failed += other.failed;
-    own_us += other.own_us, sent += other.sent, memory_kb += other.memory_kb, members += other.members;
+MetricsSum& MetricsSum::operator+=(const MetricsSum& other) {
+    requests += other.requests, in_time += other.in_time, rejected += other.rejected, failed += other.failed;
+    dispatch_time_us += other.dispatch_time_us, dispatched += other.dispatched, memory_kb += other.memory_kb,
+        members += other.members;
     return *this;
 }
 
-std::size_t Plan::upto(std::size_t wave) const {
+std::size_t Plan::members_through(std::size_t wave) const {
     std::size_t count = 0;
     for (std::size_t i = 0; i < waves.size() && i <= wave; ++i) count += waves[i];
     return count;
 }
 
-Plan read_plan(const std::string& text, const std::string& file, const std::vector<std::string>& all) {
+Plan parse_plan(const std::string& text, const std::string& file, const std::vector<std::string>& all) {
     const config::Node root = config::read_toml(text, file);
     PlanReader from(root, file);
     Plan plan;
-    plan.name = from.text("name", ""), plan.what = from.text("what", "program");
-    if (plan.what != "program" && plan.what != "settings" && plan.what != "fleet")
+    plan.name = from.text("name", ""), plan.subject = from.text("what", "program");
+    if (plan.subject != "program" && plan.subject != "settings" && plan.subject != "fleet")
         from.wrong("what", "program, settings or fleet is wanted");
     plan.from = from.text("from", ""), plan.to = from.text("to", "");
     if (plan.from == plan.to) from.wrong("to", "is what runs before as well");
@@ -137,107 +139,111 @@
     const auto micros = [&](const char* key, double otherwise, double most) {
         return static_cast<Micros>(from.number(key, otherwise, 0.001, most) * 1e6);
     };
-    plan.soak = micros("soak_s", 60, 86'400), plan.patience = micros("patience_s", 900, 604'800);
+    plan.soak = micros("soak_s", 60, 86'400), plan.wave_timeout = micros("patience_s", 900, 604'800);
     plan.gate.in_time = static_cast<Micros>(from.number("in_time_ms", 1'024, 1, 32'768)) * 1'000;
-    plan.gate.late = from.number("late", plan.gate.late, 0, 1);
-    plan.gate.failures = from.number("failures", plan.gate.failures, 0, 1);
-    plan.gate.refusals = from.number("refusals", plan.gate.refusals, 0, 1);
-    plan.gate.own_time = from.number("own_time", plan.gate.own_time, 1, 1'000);
-    plan.gate.memory = from.number("memory", plan.gate.memory, 1, 1'000);
-    plan.gate.least = static_cast<std::uint64_t>(from.number("least_requests", 200, 1, 1e9));
+    plan.gate.max_late_increase = from.number("late", plan.gate.max_late_increase, 0, 1);
+    plan.gate.max_failure_increase = from.number("failures", plan.gate.max_failure_increase, 0, 1);
+    plan.gate.max_rejection_increase = from.number("refusals", plan.gate.max_rejection_increase, 0, 1);
+    plan.gate.max_dispatch_time_ratio = from.number("own_time", plan.gate.max_dispatch_time_ratio, 1, 1'000);
+    plan.gate.max_memory_ratio = from.number("memory", plan.gate.max_memory_ratio, 1, 1'000);
+    plan.gate.min_requests = static_cast<std::uint64_t>(from.number("least_requests", 200, 1, 1e9));
     from.finish();
     if (plan.members.empty()) from.wrong("members", "nobody is there");
     return plan;
 }
 
-const char* name_of(Stage stage) {
+const char* name_of(ReleaseStage stage) {
     constexpr const char* names[] = {"changing", "soaking", "going back", "halted", "done", "back"};
     return names[static_cast<std::size_t>(stage)];
 }
 
-const char* name_of(Verb verb) {
+const char* name_of(ReleaseAction verb) {
     constexpr const char* names[] = {"start", "halt", "resume", "back"};
     return names[static_cast<std::size_t>(verb)];
 }
 
-bool Release::has(const std::string& member) const {
+bool Release::contains(const std::string& member) const {
     return std::find(plan.members.begin(), plan.members.end(), member) != plan.members.end();
 }
 
-std::string Release::no_turn(const std::string& member) const {
-    if (stage == Stage::halted) return fmt::format("release {} is halted: {}", plan.name, reason);
-    if (stage == Stage::soaking) return fmt::format("wave {} of {} soaks", wave + 1, plan.waves.size());
-    if (stage == Stage::going_back) return {};
+std::string Release::lease_rejection(const std::string& member) const {
+    if (stage == ReleaseStage::halted) return fmt::format("release {} is halted: {}", plan.name, reason);
+    if (stage == ReleaseStage::soaking)
+        return fmt::format("wave {} of {} soaks", wave + 1, plan.waves.size());
+    if (stage == ReleaseStage::rolling_back) return {};
     const auto found = std::find(plan.members.begin(), plan.members.end(), member);
-    if (found - plan.members.begin() < static_cast<std::ptrdiff_t>(plan.upto(wave))) return {};
+    if (found - plan.members.begin() < static_cast<std::ptrdiff_t>(plan.members_through(wave))) return {};
     return fmt::format("wave {} of {} is changed first", wave + 1, plan.waves.size());
 }
 
-void Releases::enter(Stage stage, Micros now, const std::string& reason, const std::string& by) {
-    if (stage == Stage::halted) active_->held = active_->stage;
+void Releases::enter(ReleaseStage stage, Micros now, const std::string& reason, const std::string& by) {
+    if (stage == ReleaseStage::halted) active_->halted_stage = active_->stage;
     active_->stage = stage, active_->since = now, active_->reason = reason, active_->by = by;
     ++active_->steps;
 }
 
-std::string Releases::start(const Order& order) {
+std::string Releases::start(const ReleaseCommand& order) {
     const Plan& plan = order.plan;
     std::size_t sum = 0;
     for (const std::size_t wave : plan.waves) sum += wave;
     if (plan.members.empty() || plan.waves.empty() || sum != plan.members.size() || plan.from == plan.to)
         return "the plan does not add up";
     for (const std::string& member : plan.members)
-        if (std::find(order.there.begin(), order.there.end(), member) == order.there.end())
+        if (std::find(order.live_members.begin(), order.live_members.end(), member) ==
+            order.live_members.end())
             return fmt::format("{} is not there", member);
     active_.emplace();
     active_->number = ++last_, active_->plan = plan;
-    enter(Stage::changing, order.now, "started", order.by);
+    enter(ReleaseStage::changing, order.now, "started", order.requested_by);
     return {};
 }
 
-std::string Releases::apply(const Order& order) {
-    if (order.verb == Verb::start) {
+std::string Releases::apply(const ReleaseCommand& order) {
+    if (order.action == ReleaseAction::start) {
         if (!active_) return start(order);
         if (active_->plan == order.plan) return {};  // asked again
         return fmt::format("release {} is under way ({})", active_->plan.name, name_of(active_->stage));
     }
     if (!active_) return "no release is under way";
-    const bool halted = active_->stage == Stage::halted;
-    switch (order.verb) {
-        case Verb::start:
+    const bool halted = active_->stage == ReleaseStage::halted;
+    switch (order.action) {
+        case ReleaseAction::start:
             break;
-        case Verb::halt:
-            if (!halted) enter(Stage::halted, order.now, "told to halt", order.by);
+        case ReleaseAction::halt:
+            if (!halted) enter(ReleaseStage::halted, order.now, "told to halt", order.requested_by);
             break;
-        case Verb::resume:
+        case ReleaseAction::resume:
             if (!halted) return fmt::format("release {} is not halted", active_->plan.name);
-            active_->without.clear();
+            active_->skipped_members.clear();
             for (const std::string& member : active_->plan.members)
-                if (std::find(order.there.begin(), order.there.end(), member) == order.there.end())
-                    active_->without.push_back(member);
-            enter(active_->held, order.now, "told to go on", order.by);
+                if (std::find(order.live_members.begin(), order.live_members.end(), member) ==
+                    order.live_members.end())
+                    active_->skipped_members.push_back(member);
+            enter(active_->halted_stage, order.now, "told to go on", order.requested_by);
             break;
-        case Verb::back:
-            if (active_->stage != Stage::going_back)
-                enter(Stage::going_back, order.now, "told to go back", order.by);
+        case ReleaseAction::roll_back:
+            if (active_->stage != ReleaseStage::rolling_back)
+                enter(ReleaseStage::rolling_back, order.now, "told to go back", order.requested_by);
             break;
     }
     return {};
 }
 
-void Releases::returned(std::uint64_t release, const std::string& member, const Runs& runs) {
-    if (active_ && active_->number == release && runs.start > 0 && active_->has(member))
-        active_->told[member] = runs;
+void Releases::on_lease_returned(std::uint64_t release, const std::string& member,
+                                 const RunningVersion& runs) {
+    if (active_ && active_->number == release && runs.start > 0 && active_->contains(member))
+        active_->reported_versions[member] = runs;
 }
 
-bool Releases::apply(const Step& step) {
-    if (!active_ || active_->number != step.release || active_->steps != step.behind ||
-        active_->stage == Stage::halted || step.wave >= active_->plan.waves.size())
+bool Releases::apply(const ReleaseStep& step) {
+    if (!active_ || active_->number != step.release || active_->steps != step.expected_steps ||
+        active_->stage == ReleaseStage::halted || step.wave >= active_->plan.waves.size())
         return false;
     active_->wave = step.wave;
-    if (step.base) active_->base = step.base;
-    enter(step.to, step.now, step.reason.substr(0, kLongestReason), {});
-    if (!active_->over()) return true;
-    if (past_.size() >= kMostPast) past_.erase(past_.begin());
+    if (step.baseline) active_->baseline = step.baseline;
+    enter(step.to, step.now, step.reason.substr(0, kMaxReasonLength), {});
+    if (!active_->is_finished()) return true;
+    if (past_.size() >= kMaxPastReleases) past_.erase(past_.begin());
     past_.push_back(std::move(*active_));
     active_.reset();
     return true;
--- a/src/rollout/watch.h
+++ b/src/rollout/release_gate.h
@@ -12,51 +12,53 @@
 namespace sumackeel::rollout {
 
 // One member as the group shows it to the leader.
-struct MemberNow {
+struct MemberStatus {
     std::string name, version;
     std::uint64_t start = 0;
-    bool there = false;    // alive
-    bool lost = false;     // dead, or left
+    bool alive = false;    // alive
+    bool gone = false;     // dead, or left
     bool leased = false;   // by lease, whoever asked for it
     bool serving = false;  // there, and neither leased nor draining
 };
 
-enum class Gated : std::uint8_t { wait, good, bad };
-struct Verdict {
-    Gated how = Gated::wait;
+enum class GateVerdict : std::uint8_t { wait, pass, fail };
+struct GateResult {
+    GateVerdict verdict = GateVerdict::wait;
     std::string reason;
 };
 // `over`: the soak is done.
-Verdict judge(const Sum& changed, const Sum& others, const Gate& gate, bool over);
+GateResult evaluate_gate(const MetricsSum& changed, const MetricsSum& others, const GateThresholds& gate,
+                         bool over);
 
-class Watch {
+class ReleaseWatch {
   public:
     // Of a member itself; kept while a release is under way, the newest of each.
-    void heard(const Report& report, Micros now);
+    void on_report(const MemberReport& report, Micros now);
     // A lease that is out, also one that ends before the next look; `start`: of its holder when it got it.
-    void leased(const std::string& member, std::uint64_t start) { turns_[member] = start; }
+    void on_lease(const std::string& member, std::uint64_t start) { turns_[member] = start; }
     // The step that is due, if any. `members`: all proxies.
-    std::optional<Step> look(const Release& release, const std::vector<MemberNow>& members, Micros now);
+    std::optional<ReleaseStep> next_step(const Release& release, const std::vector<MemberStatus>& members,
+                                         Micros now);
     // Of the soak under way, for those who look.
-    const Sum& changed() const { return changed_; }
-    const Sum& others() const { return others_; }
+    const MetricsSum& changed() const { return changed_; }
+    const MetricsSum& others() const { return others_; }
 
   private:
     struct Heard {
-        Report first, last;  // first: of the process that runs now, when the stage began
+        MemberReport first, last;  // first: of the process that runs now, when the stage began
         Micros at = 0;
     };
     void begin(const Release& release, Micros now);
-    std::string crash(const Release& release, const std::vector<MemberNow>& members);
-    void add_up(const Release& release, const std::vector<MemberNow>& members);
+    std::string crash(const Release& release, const std::vector<MemberStatus>& members);
+    void add_up(const Release& release, const std::vector<MemberStatus>& members);
 
     std::uint64_t number_ = 0, steps_ = 0;
     Micros began_ = 0, looked_ = 0;
     std::map<std::string, Heard> heard_;
     std::map<std::string, std::uint64_t> starts_;
     std::map<std::string, std::uint64_t> turns_;  // the start of the last turn's holder
-    Sum changed_, others_;
-    std::map<std::string, Sum> alone_;  // of the wave's members, each
+    MetricsSum changed_, others_;
+    std::map<std::string, MetricsSum> alone_;  // of the wave's members, each
 };
 
 }  // namespace sumackeel::rollout
--- a/src/rollout/rehearsal.cpp
+++ b/src/rollout/release_simulation.cpp
@@ -1,4 +1,4 @@
-#include "rollout/rehearsal.h"
+#include "rollout/release_simulation.h"
 
 #include <algorithm>
 #include <random>
@@ -10,34 +10,38 @@
 constexpr Micros kLook = 500'000;  // as the leader looks
 
 struct Player {
-    Seen seen;
-    Runs runs;
-    Tally tally;
+    FleetMember seen;
+    RunningVersion runs;
+    MemberMetrics tally;
     Micros back_at = 0, waits_since = -1;  // back_at: its change is done; 0: none under way
     bool dead = false;
 };
 
 class Play {
   public:
-    explicit Play(const Rehearsal& given) : given_(given), chance_(given.seed) {
-        for (const Seen& seen : given.world)
-            players_[seen.name] = {seen, {1, given.plan.from}, {}, 0, -1, seen.out};
-        Order order{.verb = Verb::start, .by = "rehearsal", .now = 0, .plan = given.plan, .there = {}};
+    explicit Play(const SimulationPlan& given) : given_(given), chance_(given.seed) {
+        for (const FleetMember& seen : given.fleet)
+            players_[seen.name] = {seen, {1, given.plan.from}, {}, 0, -1, seen.unavailable};
+        ReleaseCommand order{.action = ReleaseAction::start,
+                             .requested_by = "rehearsal",
+                             .now = 0,
+                             .plan = given.plan,
+                             .live_members = {}};
         for (const auto& [name, player] : players_)
-            if (!player.dead) order.there.push_back(name);
-        if (const Answer answer = state_.apply(order); answer.how != How::granted)
+            if (!player.dead) order.live_members.push_back(name);
+        if (const CommandResult answer = state_.apply(order); answer.outcome != Outcome::granted)
             done_.reason = answer.reason;
     }
 
-    Rehearsed play() {
+    SimulationResult play() {
         while (state_.releases().active() && now_ < given_.longest) {
             now_ += kLook;
             for (auto& [name, player] : players_) live(name, player);
-            if (changed_ || (given_.rules.between > 0 && now_ - asked_ >= base::kSecond)) ask();
+            if (changed_ || (given_.budget.min_interval_in_zone > 0 && now_ - asked_ >= base::kSecond)) ask();
             look();
             measure();
             if (const Release* release = state_.releases().active();
-                release && release->stage == Stage::halted)
+                release && release->stage == ReleaseStage::halted)
                 break;
         }
         const Release* release = state_.releases().active();
@@ -52,7 +56,7 @@
 
   private:
     bool serves(const std::string& name, const Player& player) const {
-        return !player.dead && !state_.find(Kind::proxy, name);
+        return !player.dead && !state_.find(MemberKind::proxy, name);
     }
 
     void live(const std::string& name, Player& player) {
@@ -64,7 +68,7 @@
             player.back_at = 0;
             player.runs = {player.runs.start + 1, wanted_};
             player.tally = {};
-            state_.apply(Back{Kind::proxy, name, name, now_, player.runs});
+            state_.apply(LeaseReturn{MemberKind::proxy, name, name, now_, player.runs});
             changed_ = true;
         }
         if (!serves(name, player)) return;
@@ -77,17 +81,17 @@
         const std::uint64_t failed = fails(chance_);
         player.tally.failed += failed;
         player.tally.served += static_cast<std::uint64_t>(requests) - failed;
-        player.tally.took[2] += static_cast<std::uint64_t>(requests) - failed;
+        player.tally.latency_histogram[2] += static_cast<std::uint64_t>(requests) - failed;
         player.tally.memory_kb = 1;
-        watch_.heard({name, player.runs.version, player.runs.start, player.tally}, now_);
+        watch_.on_report({name, player.runs.version, player.runs.start, player.tally}, now_);
     }
 
-    std::vector<Seen> world() const {
-        std::vector<Seen> all;
+    std::vector<FleetMember> world() const {
+        std::vector<FleetMember> all;
         for (const auto& [name, player] : players_) {
             all.push_back(player.seen);
-            all.back().out = player.dead;
-            all.back().why = player.dead ? "dead" : "";
+            all.back().unavailable = player.dead;
+            all.back().unavailable_reason = player.dead ? "dead" : "";
         }
         return all;
     }
@@ -96,31 +100,32 @@
     void ask() {
         changed_ = false, asked_ = now_;
         const Release* release = state_.releases().active();
-        if (!release || !release->gives_turns()) return;
-        wanted_ = release->wanted();
-        Ask ask{.kind = Kind::proxy,
-                .member = {},
-                .by = "rehearsal",
-                .forced = false,
-                .now = now_,
-                .rules = given_.rules,
-                .world = world(),
-                .release = release->number,
-                .runs = {}};
-        const std::size_t upto = release->stage == Stage::going_back ? given_.plan.members.size()
-                                                                     : given_.plan.upto(release->wave);
+        if (!release || !release->grants_leases()) return;
+        wanted_ = release->target_version();
+        LeaseRequest ask{.kind = MemberKind::proxy,
+                         .member = {},
+                         .requested_by = "rehearsal",
+                         .forced = false,
+                         .now = now_,
+                         .budget = given_.budget,
+                         .fleet = world(),
+                         .release = release->number,
+                         .running = {}};
+        const std::size_t upto = release->stage == ReleaseStage::rolling_back
+                                     ? given_.plan.members.size()
+                                     : given_.plan.members_through(release->wave);
         int out = 0;
         for (const auto& [name, player] : players_) out += serves(name, player) ? 0 : 1;
         for (std::size_t i = 0; i < upto; ++i) {
             Player& player = players_.at(given_.plan.members[i]);
             if (player.dead || player.back_at > 0 || player.runs.version == wanted_) continue;
             if (player.waits_since < 0) player.waits_since = now_;
-            if (out >= given_.rules.fleet_out) continue;
-            ask.member = given_.plan.members[i], ask.runs = player.runs;
-            if (state_.apply(ask).how != How::granted) continue;
+            if (out >= given_.budget.max_unavailable) continue;
+            ask.member = given_.plan.members[i], ask.running = player.runs;
+            if (state_.apply(ask).outcome != Outcome::granted) continue;
             ++out;
             player.back_at = now_ + given_.change;
-            watch_.leased(ask.member, player.runs.start);
+            watch_.on_lease(ask.member, player.runs.start);
             const Micros waited = now_ - std::exchange(player.waits_since, -1);
             if (waited > done_.longest_wait) done_.longest_wait = waited, done_.waited = ask.member;
         }
@@ -129,15 +134,15 @@
     void look() {
         const Release* release = state_.releases().active();
         if (!release) return;
-        std::vector<MemberNow> all;
+        std::vector<MemberStatus> all;
         for (const auto& [name, player] : players_) {
-            const bool leased = state_.find(Kind::proxy, name) != nullptr;
+            const bool leased = state_.find(MemberKind::proxy, name) != nullptr;
             all.push_back({name, player.runs.version, player.runs.start, !player.dead, player.dead, leased,
                            !player.dead && !leased});
         }
-        if (auto step = watch_.look(*release, all, now_)) {
+        if (auto step = watch_.next_step(*release, all, now_)) {
             step->now = now_;
-            changed_ = state_.apply(*step).how == How::granted || changed_;
+            changed_ = state_.apply(*step).outcome == Outcome::granted || changed_;
         }
     }
 
@@ -145,7 +150,7 @@
         std::map<std::string, std::pair<double, double>> schools;  // weight, weight out
         std::size_t out = 0;
         for (const auto& [name, player] : players_) {
-            auto& [weight, gone] = schools[player.seen.school];
+            auto& [weight, gone] = schools[player.seen.zone];
             weight += player.seen.weight;
             if (serves(name, player)) continue;
             gone += player.seen.weight, ++out;
@@ -158,21 +163,21 @@
         }
     }
 
-    const Rehearsal& given_;
+    const SimulationPlan& given_;
     std::mt19937_64 chance_;
     State state_;
-    Watch watch_;
+    ReleaseWatch watch_;
     std::map<std::string, Player> players_;
     std::string wanted_;
     Micros now_ = 0, asked_ = 0;
     bool changed_ = true;
     double all_ = 0, new_ = 0;
-    Rehearsed done_;
+    SimulationResult done_;
 };
 
 }  // namespace
 
-Rehearsed rehearse(const Rehearsal& plan) {
+SimulationResult simulate_release(const SimulationPlan& plan) {
     return Play(plan).play();
 }
 
--- a/src/rollout/rehearsal.h
+++ b/src/rollout/release_simulation.h
@@ -7,17 +7,17 @@
 #include <string>
 #include <vector>
 
+#include "rollout/release_gate.h"
 #include "rollout/rollout.h"
-#include "rollout/watch.h"
 
 namespace sumackeel::rollout {
 
-struct Rehearsal {
+struct SimulationPlan {
     Plan plan;
-    Rules rules;
-    std::vector<Seen> world;     // all proxies
-    Micros change = 30'000'000;  // from a turn to serving again
-    double requests_per_s = 50;  // of each member that serves
+    DisruptionBudget budget;
+    std::vector<FleetMember> fleet;  // all proxies
+    Micros change = 30'000'000;      // from a turn to serving again
+    double requests_per_s = 50;      // of each member that serves
     // By member: the share of requests that fail once it runs what is new, and when it dies for good.
     std::map<std::string, double> fails;
     std::map<std::string, Micros> dies;
@@ -25,8 +25,8 @@
     std::uint64_t seed = 1;
 };
 
-struct Rehearsed {
-    Stage stage = Stage::changing;  // as it stood at the end
+struct SimulationResult {
+    ReleaseStage stage = ReleaseStage::changing;  // as it stood at the end
     std::string reason;
     Micros took = 0,
            longest_wait = 0;   // the longest that a member waited for its turn, once its wave had begun
@@ -39,6 +39,6 @@
     std::size_t changed = 0;
 };
 
-Rehearsed rehearse(const Rehearsal& plan);
+SimulationResult simulate_release(const SimulationPlan& plan);
 
 }  // namespace sumackeel::rollout
--- a/src/rollout/rollout.h
+++ b/src/rollout/rollout.h
@@ -22,55 +22,55 @@
 
 namespace sumackeel::rollout {
 
-constexpr std::size_t kMostLeases = 1'024;
-constexpr std::size_t kMostSeen = 4'096;   // members of one kind in a command
-constexpr std::size_t kMostRecords = 128;  // of what was done by force
-constexpr std::size_t kLongestName = 256;
+constexpr std::size_t kMaxLeases = 1'024;
+constexpr std::size_t kMaxMembers = 4'096;      // members of one kind in a command
+constexpr std::size_t kMaxForcedRecords = 128;  // of what was done by force
+constexpr std::size_t kMaxNameLength = 256;
 
-enum class Kind : std::uint8_t { proxy = 0, pop_cache = 1 };
-const char* name_of(Kind kind);
+enum class MemberKind : std::uint8_t { proxy = 0, pop_cache = 1 };
+const char* name_of(MemberKind kind);
 
 // A member as the leader saw it.
-struct Seen {
-    std::string name, school;  // school: or hub, of a parent
-    std::string leans_on;      // the hub that its school is tied to; empty: none
+struct FleetMember {
+    std::string name, zone;     // school: or hub, of a parent
+    std::string parent_region;  // the hub that its school is tied to; empty: none
     double weight = 1;
-    bool out = false;
-    std::string why;  // it is out: "draining", "dead", "cold" ...
-    bool operator==(const Seen&) const = default;
+    bool unavailable = false;
+    std::string unavailable_reason;  // it is out: "draining", "dead", "cold" ...
+    bool operator==(const FleetMember&) const = default;
 };
 
 // Of one kind. All hold at once.
-struct Rules {
-    int school_out = 1;         // at most so many of a school
-    double school_share = 0.5;  // and at most this share of its weight, where more than one is out
-    int fleet_out = 4;          // at most so many of all
-    Micros between = 0;         // from one's return to the next one's leave, in a school
-    bool operator==(const Rules&) const = default;
+struct DisruptionBudget {
+    int max_unavailable_in_zone = 1;     // at most so many of a school
+    double max_zone_weight_share = 0.5;  // and at most this share of its weight, where more than one is out
+    int max_unavailable = 4;             // at most so many of all
+    Micros min_interval_in_zone = 0;     // from one's return to the next one's leave, in a school
+    bool operator==(const DisruptionBudget&) const = default;
 };
 
-struct Ask {
-    Kind kind = Kind::proxy;
-    std::string member, by;  // by: who called, for the record
+struct LeaseRequest {
+    MemberKind kind = MemberKind::proxy;
+    std::string member, requested_by;  // by: who called, for the record
     bool forced = false;
     Micros now = 0;  // the leader's, microseconds of Unix time; never used to end a lease
-    Rules rules;
-    std::vector<Seen> world;  // all of this kind
+    DisruptionBudget budget;
+    std::vector<FleetMember> fleet;  // all of this kind
     // A turn's: the release (0: none's). Of a proxy: what it runs, as the leader knows it.
     std::uint64_t release = 0;
-    Runs runs = {};
+    RunningVersion running = {};
 };
-struct Back {
-    Kind kind = Kind::proxy;
-    std::string member, by;
+struct LeaseReturn {
+    MemberKind kind = MemberKind::proxy;
+    std::string member, requested_by;
     Micros now = 0;
-    Runs runs = {};  // of a proxy that gives back its own
+    RunningVersion running = {};  // of a proxy that gives back its own
 };
 
 struct Lease {
     std::uint64_t number = 0;
-    Kind kind = Kind::proxy;
-    std::string member, school, by;
+    MemberKind kind = MemberKind::proxy;
+    std::string member, zone, requested_by;
     Micros since = 0;
     bool forced = false;
     std::uint64_t release = 0;  // for whose turn; 0: none's
@@ -78,25 +78,25 @@
     bool operator==(const Lease&) const = default;
 };
 
-enum class How : std::uint8_t { granted, refused, ended, nothing };
-struct Answer {
-    How how = How::nothing;
-    std::uint64_t number = 0;            // granted: of the lease
-    std::string reason;                  // refused, nothing: which rule, or why, in words
-    std::vector<std::string> waits_for;  // refused: who is out
+enum class Outcome : std::uint8_t { granted, rejected, returned, none };
+struct CommandResult {
+    Outcome outcome = Outcome::none;
+    std::uint64_t number = 0;             // granted: of the lease
+    std::string reason;                   // refused, nothing: which rule, or why, in words
+    std::vector<std::string> blocked_by;  // refused: who is out
 };
 
 class State {
   public:
-    Answer apply(const Ask& ask);
-    Answer apply(const Back& back);
-    Answer apply(const Order& order);  // number: of the release
-    Answer apply(const Step& step);
+    CommandResult apply(const LeaseRequest& ask);
+    CommandResult apply(const LeaseReturn& back);
+    CommandResult apply(const ReleaseCommand& order);  // number: of the release
+    CommandResult apply(const ReleaseStep& step);
     // What an ask would get now, without a change.
-    Answer judge(const Ask& ask) const;
+    CommandResult evaluate(const LeaseRequest& ask) const;
 
-    const std::map<std::pair<Kind, std::string>, Lease>& leases() const { return leases_; }
-    const Lease* find(Kind kind, const std::string& member) const;
+    const std::map<std::pair<MemberKind, std::string>, Lease>& leases() const { return leases_; }
+    const Lease* find(MemberKind kind, const std::string& member) const;
     std::uint64_t last_number() const { return last_; }
     // Grows with each change.
     std::uint64_t revision() const { return revision_; }
@@ -109,18 +109,18 @@
     static State decode(std::string_view bytes);
 
   private:
-    std::map<std::pair<Kind, std::string>, Lease> leases_;
-    std::map<std::pair<Kind, std::string>, Micros> returned_;  // by school: the last return
-    std::vector<Lease> forced_;                                // the newest kMostRecords
+    std::map<std::pair<MemberKind, std::string>, Lease> leases_;
+    std::map<std::pair<MemberKind, std::string>, Micros> returned_;  // by school: the last return
+    std::vector<Lease> forced_;                                      // the newest kMostRecords
     std::uint64_t last_ = 0, revision_ = 0;
     Releases releases_;
 };
 
 // Commands as the log holds them, with a version. decode throws std::runtime_error.
-std::string encode(const Ask& ask);
-std::string encode(const Back& back);
-Answer apply(State& state, std::string_view command);
-std::string encode(const Answer& answer);
-Answer decode_answer(std::string_view bytes);
+std::string encode(const LeaseRequest& ask);
+std::string encode(const LeaseReturn& back);
+CommandResult apply(State& state, std::string_view command);
+std::string encode(const CommandResult& answer);
+CommandResult decode_result(std::string_view bytes);
 
 }  // namespace sumackeel::rollout
--- a/src/nettlethread/bounded_map.h
+++ b/src/routing/bounded_map.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <utility>
 
-namespace nettlethread {
+namespace sumackeel::routing {
 
 template <typename Key, typename Value>
 class BoundedMap {
@@ -55,4 +55,4 @@
     std::unordered_map<Key, typename std::list<std::pair<Key, Value>>::iterator> places_;
 };
 
-}  // namespace nettlethread
+}  // namespace sumackeel::routing
--- a/src/nettlethread/candidates.h
+++ b/src/routing/cache_ranking.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "nettlethread/state.h"
+#include "routing/state.h"
 
-namespace nettlethread {
+namespace sumackeel::routing {
 
 // What ranking needs of one pop cache that may be used. `warm` and `open` mirror what its Target says.
 struct ZoneCache {
@@ -72,4 +72,4 @@
     Target* front_ = nullptr;
 };
 
-}  // namespace nettlethread
+}  // namespace sumackeel::routing
--- a/src/nettlethread/hash.h
+++ b/src/routing/hash.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace nettlethread {
+namespace sumackeel::routing {
 
 inline std::uint64_t mix(std::uint64_t x) {  // the finaliser of splitmix64
     x ^= x >> 30;
@@ -31,4 +31,4 @@
     return weight / -std::log(unit_hash(key, name));
 }
 
-}  // namespace nettlethread
+}  // namespace sumackeel::routing
