--- a/src/nettlethread/choice.cpp
+++ b/src/routing/router.cpp
@@ -1,9 +1,11 @@
-// nettlethread: every decision of a router of where an object is served, kept and filled from.
-// Its types, settings, events and actions are in include/nettlethread/router.h.
+// Every decision of a router of where an object is served, kept and filled from.
+// Its types, settings, events and actions are in include/routing/router.h.
 //
 // Ordinary path: a table of fills under way by (object, part). The first miss leads: it goes to the edge
 // cache that the hash of (object, part) names and marks the part pending; later requests go to the same cache
 // and join; after a recent hit requests go straight there. All else below is for when that path breaks.
+#include "routing/router.h"
+
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -13,13 +15,12 @@
 #include <unordered_map>
 #include <utility>
 
-#include "nettlethread/bounded_map.h"
-#include "nettlethread/candidates.h"
-#include "nettlethread/hash.h"
-#include "nettlethread/router.h"
-#include "nettlethread/state.h"
+#include "routing/bounded_map.h"
+#include "routing/cache_ranking.h"
+#include "routing/hash.h"
+#include "routing/state.h"
 
-namespace nettlethread {
+namespace sumackeel::routing {
 namespace {
 
 constexpr Micros kMs = 1'000;
@@ -90,7 +91,8 @@
     Impl(const Settings& settings, std::uint64_t seed) : set_(settings), rng_(seed) {
         // As if some sizes had been seen: the first may be odd ones.
         for (const ClassSettings& service : set_.classes)
-            mean_.emplace_back(kFirstSizes * 0.5 * static_cast<double>(service.aim), kFirstSizes);
+            mean_.emplace_back(kFirstSizes * 0.5 * static_cast<double>(service.latency_objective),
+                               kFirstSizes);
     }
 
     void handle(Micros now, const Event& event, std::vector<Action>& actions) {
@@ -98,40 +100,42 @@
         out_ = &actions;
         if (!std::exchange(started_, true)) {
             act(SetTimer{now_ + kSweep, kSweepToken});
-            if (set_.ask_for_list) act(WatchList{true});
+            if (set_.endpoints_on_request) act(WatchEndpoints{true});
         }
         std::visit([this](const auto& e) { on(e); }, event);
     }
 
   private:
     // ---- events ----
-    void on(const ListNews& news) {
-        if (news.kind == ListKind::failed)
+    void on(const EndpointUpdate& news) {
+        if (news.kind == EndpointUpdateKind::failed)
             return act(SetTimer{now_ + kSecond / 2 + jitter(kSecond / 2), kWatchToken});
-        if (news.kind != ListKind::changes)
-            for (auto& [name, target] : targets_) target.entry.state = CacheState::gone;
-        for (const CacheEntry& entry : news.entries) {
-            Target& target = targets_[entry.cache];
-            const bool careful_before = target.entry.careful;
+        if (news.kind != EndpointUpdateKind::incremental)
+            for (auto& [name, target] : targets_) target.entry.state = EndpointState::removed;
+        for (const Endpoint& entry : news.endpoints) {
+            Target& target = targets_[entry.name];
+            const bool careful_before = target.entry.unverified;
             // Told once more out of an old list, it goes on where it was.
-            const Micros since = !entry.careful ? entry.since : careful_before ? target.entry.since : now_;
-            if (target.entry.since != since) {
+            const Micros since = !entry.unverified ? entry.started_at
+                                 : careful_before  ? target.entry.started_at
+                                                   : now_;
+            if (target.entry.started_at != since) {
                 target.health = Health{};  // a process that starts anew has no past
                 start_cold(target, since);
             }
             target.entry = entry;
-            target.entry.since = since;
-            target.unproven = entry.careful && (target.unproven || !careful_before);
-            target.hash = hash_of(entry.cache);
+            target.entry.started_at = since;
+            target.unproven = entry.unverified && (target.unproven || !careful_before);
+            target.hash = hash_of(entry.name);
             if (entry.kind >= 0 && entry.kind == set_.origin_kind) origin_ = &target;
             target.role = entry.kind >= 0 && entry.kind == set_.origin_kind   ? Role::origin
                           : entry.kind >= 0 && entry.kind == set_.parent_kind ? Role::parent
-                          : set_.my_zone < 0 || entry.zone == set_.my_zone    ? Role::cache
+                          : set_.own_zone < 0 || entry.zone == set_.own_zone  ? Role::cache
                                                                               : Role::foreign;
         }
         caches_.clear(), parents_.clear();
         for (auto& [name, target] : targets_) {
-            if (target.entry.state != CacheState::ready) continue;
+            if (target.entry.state != EndpointState::ready) continue;
             if (target.role == Role::cache) caches_.push_back(&target);
             if (target.role == Role::parent) parents_.push_back(&target);
         }
@@ -156,9 +160,9 @@
 
     // Also notes when it will be.
     bool is_warm(const Target& cache) {
-        const Micros since = cache.entry.since;
-        if (since <= 0 || (set_.warm_after <= 0 && !cache.unproven)) return true;
-        const Micros warm_at = since + set_.warm_after + set_.overload_for;
+        const Micros since = cache.entry.started_at;
+        if (since <= 0 || (set_.warm_up_duration <= 0 && !cache.unproven)) return true;
+        const Micros warm_at = since + set_.warm_up_duration + set_.overload_window;
         if (cache.unproven) return false;
         if (now_ < warm_at) next_warm_at_ = std::min(next_warm_at_, warm_at);
         return now_ >= warm_at;
@@ -179,20 +183,22 @@
         if (!zone_stale_ && target.place != kNoPlace) zone_[target.place].open = target.health.open;
     }
 
-    void on(const Arrival& arrival) {
-        const ClassSettings& service = set_.classes[arrival.service];
+    void on(const RequestReceived& arrival) {
+        const ClassSettings& service = set_.classes[arrival.class_index];
         Request& request = requests_[arrival.id];
         request.arrival = arrival;
         request.serial = next_serial_++;
         serials_[request.serial] = arrival.id;
         request.work = work_of(arrival);
         request.arrived = now_;
-        request.deadline = now_ + std::min(arrival.grace, arrival.ends_in);
+        request.deadline = now_ + std::min(arrival.time_left, arrival.shutdown_in);
         const auto sending = static_cast<Micros>(arrival.size_kb > 0 ? request.work : 0);  // no guess
         request.latest = request.deadline - kEndMargin - std::max(kLeastUse, sending);
         request.aim_at =
-            now_ + std::min<Micros>(arrival.grace,
-                                    service.aim + static_cast<Micros>(service.aim_stretch * request.work));
+            now_ +
+            std::min<Micros>(arrival.time_left,
+                             service.latency_objective +
+                                 static_cast<Micros>(service.latency_objective_stretch * request.work));
         request.key = arrival.object + '/' + std::to_string(arrival.part);
         retries_ = std::min(kMostRetries, retries_ + kRetryPerRequest);
         if (cacheable(request)) {
@@ -203,23 +209,23 @@
         dispatch(request);
     }
 
-    void on(const ClientLeft& left) {
+    void on(const ClientCancelled& left) {
         auto found = requests_.find(left.id);
         if (found == requests_.end()) return;
         Request& request = found->second;
         const Copy* copy = copies_.find(request.key);
         const bool joined = copy && copy->leader == left.id && !copy->waiters.empty();
         for (std::size_t i = 0; i < request.attempts.size(); ++i)
-            if (request.attempts[i].out && set_.may_cancel && !joined && !request.streaming)
+            if (request.attempts[i].out && set_.cancellation_allowed && !joined && !request.streaming)
                 act(Cancel{left.id, static_cast<int>(i)});
         const std::string key = request.key;
         forget(left.id);
         leader_left(key, left.id);
     }
 
-    void on(const TimerDue& due) {
+    void on(const TimerExpired& due) {
         if (due.token == kSweepToken) return sweep();
-        if (due.token == kWatchToken) return act(WatchList{true});
+        if (due.token == kWatchToken) return act(WatchEndpoints{true});
         auto serial = serials_.find(due.token);
         if (serial == serials_.end()) return;
         Request& request = requests_.at(serial->second);
@@ -228,12 +234,12 @@
         dispatch(request);
     }
 
-    void on(const StreamStarted& started) {
+    void on(const ResponseStarted& started) {
         auto found = requests_.find(started.id);
         if (found != requests_.end()) found->second.streaming = true;
     }
 
-    void on(const Outcome& outcome) {
+    void on(const AttemptFinished& outcome) {
         land(outcome);
         auto found = requests_.find(outcome.id);
         if (found == requests_.end()) return;
@@ -242,61 +248,63 @@
         if (number >= request.attempts.size()) return;
         Attempt& attempt = request.attempts[number];
         attempt.out = false;
-        if (proves_not_run(outcome.verdict)) attempt.may_have_run = false;
-        const bool served = outcome.verdict == Verdict::served;
+        if (proves_not_run(outcome.status)) attempt.may_have_run = false;
+        const bool served = outcome.status == AttemptStatus::served;
         if (cacheable(request)) note_copy(request, attempt, served);
         const std::string key = request.key;
-        const bool over = outcome.ended || request.streaming || any_out(request);
-        if (outcome.ended) forget(outcome.id);
-        fill_ended(key, outcome.id, outcome.ended && served);
-        if (!over) retry(request, outcome.verdict, outcome.note);
+        const bool over = outcome.request_finished || request.streaming || any_out(request);
+        if (outcome.request_finished) forget(outcome.id);
+        fill_ended(key, outcome.id, outcome.request_finished && served);
+        if (!over) retry(request, outcome.status, outcome.cache_status);
     }
 
     void on(const Purge& purge) {
         const std::string name =
-            purge.object.empty() ? "group " + std::to_string(purge.group) : "object " + purge.object;
+            purge.object.empty() ? "group " + std::to_string(purge.purge_group) : "object " + purge.object;
         Micros& at = purges_.touch(name);
         at = std::max(at, now_ - purge.age);
     }
 
-    void on(const ProbeAnswer& answer) {
-        auto found = targets_.find(answer.cache);
+    void on(const HealthCheckResult& answer) {
+        auto found = targets_.find(answer.endpoint);
         if (found != targets_.end()) note_report(found->second, answer.load);
     }
 
-    void on(const GroupNews& n) { set_.instances = n.instances, set_.zone_instances = n.zone_instances; }
-    void on(const PeerNews&) {}  // none is asked for
+    void on(const ClusterSizeChanged& n) {
+        set_.instance_count = n.instance_count, set_.instances_by_zone = n.instances_by_zone;
+    }
+    void on(const GossipReceived&) {}  // none is asked for
 
     // Attempts that are out and the transfers at their caches are judged as if the time had not passed.
-    void on(const Stalled& stalled) {
-        for (auto& [name, flight] : flights_) flight.sent = std::min(now_, flight.sent + stalled.span);
+    void on(const ProcessStalled& stalled) {
+        for (auto& [name, flight] : flights_) flight.sent = std::min(now_, flight.sent + stalled.duration);
         for (auto& [name, target] : targets_)
-            if (!target.flights.empty()) target.clock_at = std::min(now_, target.clock_at + stalled.span);
+            if (!target.flights.empty()) target.clock_at = std::min(now_, target.clock_at + stalled.duration);
     }
 
     // ---- the fill table ----
     bool cacheable(const Request& request) const {
-        return !request.arrival.object.empty() && !service_of(request).uncached && !request.arrival.write;
+        return !request.arrival.object.empty() && !service_of(request).uncacheable && !request.arrival.write;
     }
 
     // The fill under way that this request may share. An entry past its time is distrusted: a hung fill would
     // hold all who join it. A fill older than a purge would hand its joiners a purged copy.
     bool fill_shared(const Copy& copy, const Request& request) const {
         return !copy.leader.empty() && now_ < copy.distrust_at && copy.started > purged_at(request) &&
-               copy.started > copy.cache->entry.since && usable(*copy.cache, request);
+               copy.started > copy.cache->entry.started_at && usable(*copy.cache, request);
     }
 
     // A cache hands a joiner nothing older than it asked for, so joins go on after a purge, but where a fill
     // of our own from before it is known to run. Danger: of many routers hardly one knows more of a part than
     // that it was purged. Were joins to wait for such proof, each would have the part filled anew.
     bool may_join(const Copy& copy, const Request& request) const {
-        return set_.joins && (copy.leader.empty() || copy.started > purged_at(request));
+        return set_.coalescing_allowed && (copy.leader.empty() || copy.started > purged_at(request));
     }
 
     // The cache that proved to hold the copy, unless it was purged or the cache started anew since then.
     Target* proven_holder(const Copy& copy, const Request& request) const {
         const bool proven =
-            copy.holder && copy.holder_since > std::max(purged_at(request), copy.holder->entry.since);
+            copy.holder && copy.holder_since > std::max(purged_at(request), copy.holder->entry.started_at);
         return proven ? copy.holder : nullptr;
     }
 
@@ -308,7 +316,7 @@
         Copy* copy = copies_.find(request.key);
         if (!served || !copy || attempt.cache->role != Role::cache) return;
         copy->holder = attempt.cache;
-        const double renewed_after = kRenewFrom * static_cast<double>(service_of(request).fresh);
+        const double renewed_after = kRenewFrom * static_cast<double>(service_of(request).freshness_lifetime);
         if (!attempt.stale && static_cast<double>(now_ - copy->fresh_from) > renewed_after)
             copy->fresh_from = attempt.sent;
         copy->holder_since = attempt.sent;
@@ -350,22 +358,24 @@
     // ---- purges and ages ----
     Micros purged_at(const Request& request) const {
         const Micros* object = purges_.find("object " + request.arrival.object);
-        const Micros* group = purges_.find("group " + std::to_string(request.arrival.group));
+        const Micros* group = purges_.find("group " + std::to_string(request.arrival.purge_group));
         return std::max(object ? *object : 0, group ? *group : 0);
     }
 
     // Never 0 after a purge: 0 would ask for any copy within the class's fresh time.
     Micros oldest_allowed(const Request& request, bool stale) const {
         const ClassSettings& service = service_of(request);
-        const Micros age = stale ? service.fresh + service.grace : 0, purged = purged_at(request);
+        const Micros age = stale ? service.freshness_lifetime + service.stale_grace : 0,
+                     purged = purged_at(request);
         if (purged == 0) return age;
-        const Micros since = std::max<Micros>(1, now_ - purged), limit = age > 0 ? age : service.fresh;
+        const Micros since = std::max<Micros>(1, now_ - purged),
+                     limit = age > 0 ? age : service.freshness_lifetime;
         return limit > 0 ? std::min(limit, since) : since;
     }
 
     // ---- the pick ----
     void dispatch(Request& request) {
-        const bool out_of_tries = static_cast<int>(request.attempts.size()) >= set_.most_tries;
+        const bool out_of_tries = static_cast<int>(request.attempts.size()) >= set_.max_attempts;
         if (out_of_tries || now_ >= request.latest) return give_up(request);
         Copy* copy = cacheable(request) ? &copies_.touch(request.key) : nullptr;
         const bool shared = copy && fill_shared(*copy, request) && copy->leader != request.arrival.id;
@@ -405,7 +415,7 @@
     // The home by hash while it can answer in time, else the next by hash that can, else the soonest.
     Plan best_plan(Request& request, Copy* copy, bool shared) {
         Target* holder = copy ? proven_holder(*copy, request) : nullptr;
-        const bool old_copy = holder && service_of(request).grace > 0 && !request.attempts.empty();
+        const bool old_copy = holder && service_of(request).stale_grace > 0 && !request.attempts.empty();
         Ranking order = caches_in_order(request, old_copy ? holder : nullptr);
         if (order.empty()) return {};
         Target* wish = shared                                                        ? copy->cache
@@ -434,14 +444,15 @@
     // Danger: a zone whose caches all died refuses whatever it is asked. Where the site allows it, and only
     // then, a parent answers past them; nothing is kept, so this ends as soon as one cache takes its trial.
     Plan past_the_caches(const Request& request) {
-        if (!set_.direct || !origin_) return {};
-        if (set_.origin_alone_per_s > 0 && caches_.empty() && parents_.empty()) return origin_alone(request);
+        if (!set_.cache_bypass_allowed || !origin_) return {};
+        if (set_.origin_only_requests_per_s > 0 && caches_.empty() && parents_.empty())
+            return origin_alone(request);
         if (!cacheable(request)) return {};
         Target* parent = pick_source(request, nullptr, *origin_, true);
         if (parent->role != Role::parent || !usable(*parent, request)) return {};
         // Danger: an origin that drains or is gone may be named no more, as a source either. What the parent
         // holds it still gives.
-        const bool origin_up = origin_->entry.state == CacheState::ready;
+        const bool origin_up = origin_->entry.state == EndpointState::ready;
         Plan plan{.cache = parent, .source = origin_up ? origin_ : parent, .fill = origin_up};
         plan.finish = predicted(request, *parent, origin_up ? origin_ : nullptr, false);
         return now_ + static_cast<Micros>(plan.finish) < request.aim_at ? plan : Plan{};
@@ -453,9 +464,10 @@
     Plan origin_alone(const Request& request) {
         if (!admits(*origin_) || !usable(*origin_, request)) return {};
         if (cacheable(request)) {
-            const double most = std::max(1.0, set_.origin_alone_per_s);
+            const double most = std::max(1.0, set_.origin_only_requests_per_s);
             const double earned = static_cast<double>(now_ - origin_left_.at) / kSecond;
-            origin_left_ = {std::min(most, origin_left_.value + set_.origin_alone_per_s * earned), now_};
+            origin_left_ = {std::min(most, origin_left_.value + set_.origin_only_requests_per_s * earned),
+                            now_};
             if (origin_left_.value < 1) return {};
             origin_left_.value -= 1;
         }
@@ -502,7 +514,7 @@
 
     // Rules that no pick may break: drains, the group of a keyed request, the cold budget.
     bool usable(const Target& target, const Request& request) const {
-        if (target.entry.state != CacheState::ready) return false;
+        if (target.entry.state != EndpointState::ready) return false;
         for (const Attempt& a : request.attempts)
             if (a.may_have_run && !repeat_allowed(request, a, target)) return false;
         return cold_room(target);
@@ -510,18 +522,22 @@
 
     bool repeat_allowed(const Request& request, const Attempt& earlier, const Target& target) const {
         const ClassSettings& service = service_of(request);
-        if (service.semantics == Semantics::safe) return true;
-        if (service.semantics == Semantics::unsafe || now_ >= earlier.sent + service.window) return false;
-        return service.scope == Scope::all ||
-               (service.scope == Scope::zone && earlier.cache->entry.zone == target.entry.zone) ||
-               (service.scope == Scope::cell && earlier.cache->entry.cell == target.entry.cell);
+        if (service.retry_safety == RetrySafety::idempotent) return true;
+        if (service.retry_safety == RetrySafety::not_idempotent ||
+            now_ >= earlier.sent + service.idempotency_window)
+            return false;
+        return service.idempotency_scope == IdempotencyScope::all ||
+               (service.idempotency_scope == IdempotencyScope::zone &&
+                earlier.cache->entry.zone == target.entry.zone) ||
+               (service.idempotency_scope == IdempotencyScope::cell &&
+                earlier.cache->entry.cell == target.entry.cell);
     }
 
     Plan plan_at(const Request& request, const Copy* copy, Target& cache) {
         Plan plan;
         plan.cache = &cache;
         const bool held = copy && likely_held(*copy, cache, request);
-        const Micros fresh = service_of(request).fresh;
+        const Micros fresh = service_of(request).freshness_lifetime;
         plan.renewal = held && fresh > 0 && now_ - copy->fresh_from >= fresh;
         plan.fill = !held || plan.renewal;
         plan.source = pick_source(request, copy, cache, plan.fill);
@@ -533,7 +549,7 @@
         plan.miss = unknown ? 1 - hit_share_ * ramp(cache, now_) : plan.fill;
         plan.finish = plan.fill ? predicted(request, cache, plan.source, plan.renewal) : plan.answer;
         // Stale-if-error: an old copy only after a failed try or where a fresh one is unlikely in time.
-        if (copy && service_of(request).grace > 0 && plan.source != &cache) {
+        if (copy && service_of(request).stale_grace > 0 && plan.source != &cache) {
             plan.old_copy = proven_holder(*copy, request) == &cache;
             plan.stale = !request.attempts.empty() ||
                          now_ + static_cast<Micros>(kAimMargin * plan.finish) > request.aim_at;
@@ -544,7 +560,7 @@
 
     // A hub parent by the same hash, nearer hubs preferred; another if that one is unwell; the origin last.
     Target* pick_source(const Request& request, const Copy* copy, Target& cache, bool fill) {
-        const bool origin_up = origin_ && origin_->entry.state == CacheState::ready;
+        const bool origin_up = origin_ && origin_->entry.state == EndpointState::ready;
         // Danger: what runs at the origin may not be asked for again, so a parent on the way is one more that
         // can fail it for good, and has nothing of it to give.
         if (origin_up && !cacheable(request)) return origin_;
@@ -576,17 +592,17 @@
     // A cache of the zone that surely has the copy may fill another that lacks it: it spares the link in.
     Target* sibling_holding(const Request& request, const Copy* copy, const Target& cache) {
         Target* holder = copy ? proven_holder(*copy, request) : nullptr;
-        const bool sure = holder && holder != &cache && set_.neighbours != Neighbours::none &&
-                          now_ - copy->served_at < kRecentHit && service_of(request).fresh == 0;
+        const bool sure = holder && holder != &cache && set_.sibling_fill != SiblingFill::none &&
+                          now_ - copy->served_at < kRecentHit && service_of(request).freshness_lifetime == 0;
         if (!sure || !usable(*holder, request) || tried(request, *holder) || !admits(*holder)) return nullptr;
         return crowd(*holder, 1) < kCrowded ? holder : nullptr;
     }
 
     double hub_steps(const Target& parent) const {
-        const int here = nth(set_.zone_hub, set_.my_zone, -1),
-                  there = nth(set_.zone_hub, parent.entry.zone, -1);
+        const int here = nth(set_.region_by_zone, set_.own_zone, -1),
+                  there = nth(set_.region_by_zone, parent.entry.zone, -1);
         if (here < 0 || there < 0) return 0;
-        const int hubs = *std::max_element(set_.zone_hub.begin(), set_.zone_hub.end()) + 1;
+        const int hubs = *std::max_element(set_.region_by_zone.begin(), set_.region_by_zone.end()) + 1;
         return std::min(std::abs(here - there), hubs - std::abs(here - there));  // they stand in a ring
     }
 
@@ -594,38 +610,39 @@
     // The lowest curve the settings allow, from the cold share to all of it.
     double ramp(const Target& target, Micros at) const {
         const bool parent = target.role == Role::parent;
-        const double from = parent ? set_.parent_cold_from : set_.cold_share;
-        const Micros length = parent ? set_.parent_ramp : set_.warm_after;
-        if (target.entry.since <= 0 || length <= 0) return 1;
+        const double from = parent ? set_.parent_cold_fraction : set_.cold_capacity_fraction;
+        const Micros length = parent ? set_.parent_slow_start : set_.warm_up_duration;
+        if (target.entry.started_at <= 0 || length <= 0) return 1;
         if (target.unproven) return from;
-        if (at >= target.entry.since + length) return 1;
-        const double done = static_cast<double>(std::max<Micros>(0, at - target.entry.since)) / length;
+        if (at >= target.entry.started_at + length) return 1;
+        const double done = static_cast<double>(std::max<Micros>(0, at - target.entry.started_at)) / length;
         return from + (1 - from) * done;
     }
 
     // Danger: all routers hear of it together; with the same first turn they would also ask it together.
     void start_cold(Target& target, Micros since) {
         target.debt = {dearest_mean() * unit_hash(rng_(), target.hash), since};
-        target.entry.since = since;
+        target.entry.started_at = since;
         zone_stale_ = true;
     }
 
     double sharers(const Target& target) const {
-        if (target.role != Role::cache) return std::max(1, set_.instances);
+        if (target.role != Role::cache) return std::max(1, set_.instance_count);
         return routers_of(target.entry.zone);
     }
 
     double routers_of(int zone) const {
-        return std::max(1, nth(set_.zone_instances, std::max(0, zone), set_.instances));
+        return std::max(1, nth(set_.instances_by_zone, std::max(0, zone), set_.instance_count));
     }
 
     // What all routers together may send it in the stated time; the origin and the warm have no such bound.
     double cold_budget(const Target& target, Micros at) const {
-        const double multiple = target.role == Role::parent ? set_.parent_breaks_at : set_.tip_multiple;
-        const double now = ramp(target, at - set_.overload_for);
+        const double multiple =
+            target.role == Role::parent ? set_.parent_overload_multiple : set_.cold_overload_multiple;
+        const double now = ramp(target, at - set_.overload_window);
         if (target.role == Role::origin || multiple <= 0 || now >= 1)
             return std::numeric_limits<double>::infinity();
-        return kColdUse * multiple * target.entry.weight * now * static_cast<double>(set_.overload_for);
+        return kColdUse * multiple * target.entry.weight * now * static_cast<double>(set_.overload_window);
     }
 
     // Danger: all routers together can push a cold cache or parent over within one window. Each keeps to its
@@ -642,7 +659,7 @@
     double debt(const Target& target) const {
         const auto pace = [&](Micros at) {
             return within_tail(cold_budget(target, at), dearest_mean()) /
-                   (sharers(target) * static_cast<double>(set_.overload_for));
+                   (sharers(target) * static_cast<double>(set_.overload_window));
         };
         const double paid = (pace(target.debt.at) + pace(now_)) / 2;  // the budget rises in a line
         return std::max(0.0, target.debt.value - paid * static_cast<double>(now_ - target.debt.at));
@@ -664,7 +681,7 @@
 
     void charge(Target& target, const Request& request) {
         if (!std::isinf(cold_budget(target, now_)))
-            target.debt = {debt(target) + mean_work(request.arrival.service), now_};
+            target.debt = {debt(target) + mean_work(request.arrival.class_index), now_};
     }
 
     // ---- prediction ----
@@ -706,20 +723,22 @@
     // Only what others hold is learnt from a report: our own attempts are known better, and it comes late.
     void note_report(Target& cache, const LoadReport& load) {
         if (cache.role != Role::cache || sharers(cache) <= 1) return;
-        if (load.held >= 0)
-            cache.told = {std::max(0.0, load.held - static_cast<double>(cache.flights.size())), now_};
-        if (load.link >= 0) told_fills_ = {std::max(0.0, load.link * link_fits() - fills_out_), now_};
+        if (load.in_flight >= 0)
+            cache.told = {std::max(0.0, load.in_flight - static_cast<double>(cache.flights.size())), now_};
+        if (load.ingress_utilization >= 0)
+            told_fills_ = {std::max(0.0, load.ingress_utilization * link_fits() - fills_out_), now_};
     }
 
     // Transfers at full pace that the zone's link in fits; 0: not told.
     double link_fits() const {
-        return nth(set_.inlet_kb_per_s, std::max(0, set_.my_zone), 0.0) / std::max(1.0, set_.pace_kb_per_s);
+        return nth(set_.ingress_kb_per_s_by_zone, std::max(0, set_.own_zone), 0.0) /
+               std::max(1.0, set_.transfer_rate_kb_per_s);
     }
 
     // The part of full pace that the zone's link in leaves for each fill under way, with `more` of them.
     double fill_share(double more) const {
         if (link_fits() <= 0) return 1;
-        const double guess = (routers_of(set_.my_zone) - 1) * faded(mean_fills_, fills_out_, kLoadMemory);
+        const double guess = (routers_of(set_.own_zone) - 1) * faded(mean_fills_, fills_out_, kLoadMemory);
         const double others = faded(told_fills_, guess, kReportFades);
         return std::min(1.0, link_fits() / std::max(1.0, fills_out_ + others + more));
     }
@@ -761,10 +780,10 @@
         return kBase + service;
     }
 
-    double work_of(const Arrival& arrival) {
-        if (arrival.size_kb <= 0 || set_.pace_kb_per_s <= 0) return mean_work(arrival.service);
-        const double work = arrival.size_kb / set_.pace_kb_per_s * kSecond;
-        auto& [total, count] = mean_[arrival.service];
+    double work_of(const RequestReceived& arrival) {
+        if (arrival.size_kb <= 0 || set_.transfer_rate_kb_per_s <= 0) return mean_work(arrival.class_index);
+        const double work = arrival.size_kb / set_.transfer_rate_kb_per_s * kSecond;
+        auto& [total, count] = mean_[arrival.class_index];
         total += work, count += 1;
         return work;
     }
@@ -783,7 +802,7 @@
         if (health.open && health.trial_out) {
             health.open = health.trial_out = false;
             mirror_breaker(target);
-            act(Log{"breaker closed: " + target.entry.cache});
+            act(LogMessage{"breaker closed: " + target.entry.name});
         }
         if (!health.open) health.opened_for -= health.opened_for / kCalm;
     }
@@ -798,7 +817,7 @@
         health.open = true;
         health.trial_out = false;
         mirror_breaker(target);
-        act(Log{"breaker open: " + target.entry.cache});
+        act(LogMessage{"breaker open: " + target.entry.name});
     }
 
     void observe_late(Target& target, double ratio) {
@@ -809,7 +828,7 @@
     double late_faded(const Target& target) const { return faded(target.health.late, 1, kLateFades); }
 
     // Takes the attempt out of its cache's list and learns from it.
-    void land(const Outcome& outcome) {
+    void land(const AttemptFinished& outcome) {
         auto place = flights_.find(outcome.id + '#' + std::to_string(outcome.attempt));
         if (place == flights_.end()) return;
         const Flight flight = place->second;
@@ -820,16 +839,19 @@
         flights_.erase(place);
         out_now_ -= 1;
         cache.fills -= flight.on_link, fills_out_ -= flight.on_link;
-        if (outcome.note == Note::filled_by_origin && origin_) succeeded(*origin_);
+        if (outcome.cache_status == CacheStatus::filled_by_origin && origin_) succeeded(*origin_);
         note_origin(flight, outcome);
-        const Verdict verdict = outcome.verdict;
-        if (verdict == Verdict::served || verdict == Verdict::full || verdict == Verdict::missing)
+        const AttemptStatus verdict = outcome.status;
+        if (verdict == AttemptStatus::served || verdict == AttemptStatus::overloaded ||
+            verdict == AttemptStatus::not_found)
             prove(cache);
-        if (verdict == Verdict::not_connected || verdict == Verdict::broken_off) ++cache.lost;
+        if (verdict == AttemptStatus::connect_failed || verdict == AttemptStatus::connection_reset)
+            ++cache.lost;
         if (Target* source = flight.source; source && source != &cache) {
-            const Note note = outcome.note;
-            if (note == Note::source_lost) ++source->lost;
-            if (note == Note::filled || note == Note::filled_by_origin || note == Note::source_lacks)
+            const CacheStatus note = outcome.cache_status;
+            if (note == CacheStatus::source_unreachable) ++source->lost;
+            if (note == CacheStatus::filled || note == CacheStatus::filled_by_origin ||
+                note == CacheStatus::source_missing)
                 prove(*source);
         }
         learn(cache, flight.source == &cache ? nullptr : flight.source, flight, outcome);
@@ -845,7 +867,7 @@
         const bool was_lost = std::exchange(target.lost, 0) >= kLostFor;
         if (was_lost && target.role != Role::origin) start_cold(target, now_);
         if (!std::exchange(target.unproven, false)) return;
-        target.entry.since = now_;
+        target.entry.started_at = now_;
         zone_stale_ = true;
     }
 
@@ -869,7 +891,7 @@
 
     // Between two fills of ours; under one wait for as many as our part of them waits at once.
     double origin_turn() const {
-        return kOriginWait * origin_slow() * std::max(1, set_.instances) / kOriginHolds;
+        return kOriginWait * origin_slow() * std::max(1, set_.instance_count) / kOriginHolds;
     }
 
     void take_origin_turn() {
@@ -879,13 +901,14 @@
 
     // A fill that ran out of time waited for the origin only if its source answered others meanwhile. One
     // wild wait alone makes no crowd.
-    void note_origin(const Flight& flight, const Outcome& outcome) {
+    void note_origin(const Flight& flight, const AttemptFinished& outcome) {
         if (!flight.source || flight.source == flight.cache) return;
         Target& source = *flight.source;
-        const bool answered = outcome.note == Note::filled_by_origin && outcome.first_byte > 0;
+        const bool answered =
+            outcome.cache_status == CacheStatus::filled_by_origin && outcome.time_to_first_byte > 0;
         const bool waited =
-            flight.fill && outcome.verdict == Verdict::timed_out && source.heard > flight.sent;
-        const double wait = static_cast<double>(answered ? outcome.first_byte : outcome.took);
+            flight.fill && outcome.status == AttemptStatus::timed_out && source.heard > flight.sent;
+        const double wait = static_cast<double>(answered ? outcome.time_to_first_byte : outcome.elapsed);
         const double slow = std::min(wait / source.usual, kOriginWild);
         if (answered || (waited && slow > origin_slow()))
             origin_slow_ = {origin_slow() + kGain * (slow - origin_slow()), now_};
@@ -896,32 +919,36 @@
         source.usual += (std::min(slow, most) - 1) * source.usual / source.seen;
     }
 
-    void learn(Target& cache, Target* source, const Flight& flight, const Outcome& outcome) {
-        const bool untold = set_.notes == Notes::none;
+    void learn(Target& cache, Target* source, const Flight& flight, const AttemptFinished& outcome) {
+        const bool untold = set_.cache_status_detail == CacheStatusDetail::none;
         const double as_hit = (service_now(cache) - flight.started) / flight.hit;
-        const bool hit =
-            outcome.note == Note::hit || outcome.note == Note::past_fresh || (untold && as_hit < kHitLike);
-        const bool filled = outcome.note == Note::filled || outcome.note == Note::filled_by_origin;
+        const bool hit = outcome.cache_status == CacheStatus::hit ||
+                         outcome.cache_status == CacheStatus::stale || (untold && as_hit < kHitLike);
+        const bool filled = outcome.cache_status == CacheStatus::filled ||
+                            outcome.cache_status == CacheStatus::filled_by_origin;
         const bool fill = source && (filled || (flight.fill && !hit));
         const double ratio = ratio_so_far(cache, flight);
-        const Verdict verdict = outcome.verdict;
-        if (verdict == Verdict::served) {
+        const AttemptStatus verdict = outcome.status;
+        if (verdict == AttemptStatus::served) {
             if (untold && flight.on_link > 0) hit_share_ += kHitGain * ((hit ? kMostHits : 0) - hit_share_);
             succeeded(cache);
             if (fill) succeeded(*source);
             if (fill) observe_late(*source, ratio / std::max(1.0, late_faded(cache)));
             if (!fill || ratio < late_faded(cache)) observe_late(cache, fill ? ratio : as_hit);
-        } else if (verdict == Verdict::full) {
+        } else if (verdict == AttemptStatus::overloaded) {
             // A cache with no place says so at once; what took a way further came from the source. A hit that
             // was expected may have been a fill, so the way it took counts, not the guess.
-            const bool quick = outcome.took <= kQuickRefusal && outcome.note == Note::none;
-            const Note note = outcome.note == Note::none ? Note::source_refused : outcome.note;
+            const bool quick =
+                outcome.elapsed <= kQuickRefusal && outcome.cache_status == CacheStatus::unknown;
+            const CacheStatus note = outcome.cache_status == CacheStatus::unknown
+                                         ? CacheStatus::source_rejected
+                                         : outcome.cache_status;
             !source || quick ? failed(cache, 1) : blame(cache, source, true, note, 0, 0);
-        } else if (verdict == Verdict::timed_out
+        } else if (verdict == AttemptStatus::timed_out
                        ? ratio > kSlowFailure
-                       : verdict == Verdict::error || verdict == Verdict::broken_off ||
-                             verdict == Verdict::not_connected) {
-            blame(cache, source, fill, outcome.note, ratio, flight.due());
+                       : verdict == AttemptStatus::error || verdict == AttemptStatus::connection_reset ||
+                             verdict == AttemptStatus::connect_failed) {
+            blame(cache, source, fill, outcome.cache_status, ratio, flight.due());
         }
         // Danger: a trial whose end taught nothing would keep its breaker half open for good.
         cache.health.trial_out = false;
@@ -931,15 +958,15 @@
     // Danger: blaming a cache for its source's failure ejects healthy caches one after another. The note
     // decides; where it is silent, a fill that failed only after a wait was given up on its source, and a
     // quick failure goes to the more suspect of the two.
-    void blame(Target& cache, Target* source, bool fill, Note note, double ratio, Micros due) {
-        if (fill && note == Note::origin_failed && origin_) return failed(*origin_, 1);
-        const bool told =
-            note == Note::source_lost || note == Note::source_refused || note == Note::origin_failed;
-        double on_source = fill && (told || (note == Note::none && ratio > kSlowFailure)) ? 1 : 0;
-        if (fill && note == Note::none && ratio <= kSlowFailure)
+    void blame(Target& cache, Target* source, bool fill, CacheStatus note, double ratio, Micros due) {
+        if (fill && note == CacheStatus::origin_failed && origin_) return failed(*origin_, 1);
+        const bool told = note == CacheStatus::source_unreachable || note == CacheStatus::source_rejected ||
+                          note == CacheStatus::origin_failed;
+        double on_source = fill && (told || (note == CacheStatus::unknown && ratio > kSlowFailure)) ? 1 : 0;
+        if (fill && note == CacheStatus::unknown && ratio <= kSlowFailure)
             on_source =
                 (source->health.failing + 0.05) / (source->health.failing + cache.health.failing + 0.1);
-        if (on_source > 0) failed(*source, note == Note::source_lost ? kToldLost : on_source);
+        if (on_source > 0) failed(*source, note == CacheStatus::source_unreachable ? kToldLost : on_source);
         if (on_source < 1) failed(cache, 1 - on_source);
         Target& slow = fill ? *source : cache;
         if (ratio > kSlowFailure && slow.heard <= due) observe_late(slow, ratio);
@@ -966,22 +993,24 @@
             if (plan.source->health.open) plan.source->health.trial_out = true;
         }
         if (request.arrival.object.empty())
-            return act(LookUp{request.arrival.id, cache.entry.cache, timeout(request, plan)});
-        Serve serve{.id = request.arrival.id, .timeout = timeout(request, plan), .cache = cache.entry.cache};
-        serve.source = plan.source ? plan.source->entry.cache : cache.entry.cache;
+            return act(Lookup{request.arrival.id, cache.entry.name, timeout(request, plan)});
+        Forward serve{
+            .id = request.arrival.id, .timeout = timeout(request, plan), .endpoint = cache.entry.name};
+        serve.source = plan.source ? plan.source->entry.name : cache.entry.name;
         if (copy) {
-            serve.age = oldest_allowed(request, plan.stale);
-            serve.join = plan.join;
+            serve.max_age = oldest_allowed(request, plan.stale);
+            serve.coalesce = plan.join;
             // Danger: with the origin down every fill waits at the parent and fails there, holding places
             // that hits need. What the parent holds it still gives; the rest comes back at once as missing.
             const bool via_parent = plan.fill && plan.source && plan.source->role == Role::parent;
-            serve.source_holds = via_parent && origin_ && !origin_open();
-            const bool asks_origin = via_parent ? !serve.source_holds : plan.fill && plan.source == origin_;
+            serve.source_cached_only = via_parent && origin_ && !origin_open();
+            const bool asks_origin =
+                via_parent ? !serve.source_cached_only : plan.fill && plan.source == origin_;
             if (origin_ && asks_origin) take_origin_turn();
-            flight.origin_trial = via_parent && !serve.source_holds && origin_ && origin_->health.open;
+            flight.origin_trial = via_parent && !serve.source_cached_only && origin_ && origin_->health.open;
             if (flight.origin_trial) origin_->health.trial_out = true;
-            serve.renew = service_of(request).fresh > 0 && copy->asked > 1;
-            serve.rank = cache.role != Role::cache ? 0 : copy->asked > 1 ? 2 : 1;
+            serve.revalidate = service_of(request).freshness_lifetime > 0 && copy->asked > 1;
+            serve.cache_priority = cache.role != Role::cache ? 0 : copy->asked > 1 ? 2 : 1;
         }
         act(serve);
     }
@@ -989,22 +1018,23 @@
     // Long enough for a crowd, short enough for another try; where none could follow, all that is left.
     Micros timeout(const Request& request, const Plan& plan) const {
         const Micros left = request.deadline - now_ - kEndMargin;
-        const bool last = static_cast<int>(request.attempts.size()) >= set_.most_tries || retries_ < 1 ||
-                          service_of(request).semantics == Semantics::unsafe;
+        const bool last = static_cast<int>(request.attempts.size()) >= set_.max_attempts || retries_ < 1 ||
+                          service_of(request).retry_safety == RetrySafety::not_idempotent;
         const auto wait = std::max(kLeastTimeout, static_cast<Micros>(kPatience * plan.finish));
         const auto another = static_cast<Micros>(request.work + kBase + kFillDelay);
         return last || wait + another > left ? left : wait;
     }
 
-    void retry(Request& request, Verdict verdict, Note note) {
-        if (verdict == Verdict::never_sent) return give_up(request);
+    void retry(Request& request, AttemptStatus verdict, CacheStatus note) {
+        if (verdict == AttemptStatus::not_sent) return give_up(request);
         // Danger: an error that a request meets at one cache after another is its own. Tried on, it would use
         // up the budget for retries and have them all ejected.
-        if (verdict == Verdict::error && note == Note::none && ++request.errors > 1) return give_up(request);
-        if (verdict == Verdict::missing && origin_ && !origin_open() && request.attempts.size() > 1)
+        if (verdict == AttemptStatus::error && note == CacheStatus::unknown && ++request.errors > 1)
+            return give_up(request);
+        if (verdict == AttemptStatus::not_found && origin_ && !origin_open() && request.attempts.size() > 1)
             return give_up(request);  // no parent asked holds it, the origin is down or it is not our turn
-        if (verdict != Verdict::missing && retries_ < 1) return give_up(request);
-        if (verdict != Verdict::missing) retries_ -= 1;
+        if (verdict != AttemptStatus::not_found && retries_ < 1) return give_up(request);
+        if (verdict != AttemptStatus::not_found) retries_ -= 1;
         const auto tries = request.attempts.size();
         if (tries < 2) return dispatch(request);
         const Micros wait = kBackoff << std::min<std::size_t>(tries - 2, 4);
@@ -1021,7 +1051,7 @@
         const bool fills_crowded =
             plan.miss > kLikelyMiss && !old_copy && plan.source &&
             (late(*plan.source) > kCrowded ||
-             1 / fill_share(1) > (routers_of(set_.my_zone) > kFewRouters ? kCrowded : kKnownCrowd));
+             1 / fill_share(1) > (routers_of(set_.own_zone) > kFewRouters ? kCrowded : kKnownCrowd));
         // A crowd of transfers grows while one runs, so it is met with a margin; a slow fill need not.
         const double left = static_cast<double>(request.aim_at - now_);
         return (plan.crowd > kCrowded && kAimMargin * finish > left) || (fills_crowded && finish > left);
@@ -1029,16 +1059,18 @@
 
     bool may_refuse(const Request& request) const {
         const ClassSettings& service = service_of(request);
-        if (service.semantics == Semantics::safe) return true;
-        if (service.semantics == Semantics::keyed && service.scope == Scope::all) return true;
+        if (service.retry_safety == RetrySafety::idempotent) return true;
+        if (service.retry_safety == RetrySafety::with_idempotency_key &&
+            service.idempotency_scope == IdempotencyScope::all)
+            return true;
         return std::ranges::none_of(request.attempts, &Attempt::may_have_run);
     }
 
     // Answered at once: holding it back would only hide the failure from the client.
     void give_up(Request& request) {
         const std::string id = request.arrival.id, key = request.key;
-        const Micros half = set_.retry_advice ? set_.longest_advice / 2 : 0;
-        may_refuse(request) ? act(Refuse{id, half + jitter(half)}) : act(Fail{id});
+        const Micros half = set_.retry_after_allowed ? set_.max_retry_after / 2 : 0;
+        may_refuse(request) ? act(Reject{id, half + jitter(half)}) : act(Fail{id});
         forget(id);
         fill_ended(key, id, false);
     }
@@ -1055,12 +1087,12 @@
 
     void sweep() {
         copies_.sweep([&](const Copy& copy) { return now_ - copy.rate.at > kCopyMemory; });
-        purges_.sweep([&](Micros at) { return now_ - at > 2 * set_.cleared_within; });
+        purges_.sweep([&](Micros at) { return now_ - at > 2 * set_.purge_completes_within; });
         act(SetTimer{now_ + kSweep, kSweepToken});
     }
 
     const ClassSettings& service_of(const Request& request) const {
-        return set_.classes[request.arrival.service];
+        return set_.classes[request.arrival.class_index];
     }
     Micros jitter(Micros most) {
         return most <= 0 ? 0 : static_cast<Micros>(rng_() % static_cast<std::uint64_t>(most + 1));
@@ -1106,4 +1138,4 @@
     impl_->handle(now, event, actions);
 }
 
-}  // namespace nettlethread
+}  // namespace sumackeel::routing
--- a/src/nettlethread/state.h
+++ b/src/routing/state.h
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "nettlethread/router.h"
+#include "routing/router.h"
 
-namespace nettlethread {
+namespace sumackeel::routing {
 
 // Settings by zone or class may be shorter than the list of zones or classes.
 template <typename T>
@@ -20,9 +20,9 @@
 }
 
 // As the wire states it.
-inline bool proves_not_run(Verdict verdict) {
-    return verdict == Verdict::full || verdict == Verdict::not_connected || verdict == Verdict::never_sent ||
-           verdict == Verdict::missing;
+inline bool proves_not_run(AttemptStatus verdict) {
+    return verdict == AttemptStatus::overloaded || verdict == AttemptStatus::connect_failed ||
+           verdict == AttemptStatus::not_sent || verdict == AttemptStatus::not_found;
 }
 
 enum class Role { cache, parent, origin, foreign };
@@ -72,7 +72,7 @@
 constexpr std::size_t kNoPlace = static_cast<std::size_t>(-1);
 
 struct Target {
-    CacheEntry entry;
+    Endpoint entry;
     std::size_t place = kNoPlace;  // in the table of the zone's caches
     std::uint64_t hash = 0;        // of its name
     Role role = Role::foreign;
@@ -101,7 +101,7 @@
 };
 
 struct Request {
-    Arrival arrival;
+    RequestReceived arrival;
     std::uint64_t serial = 0;
     std::string key;
     double work = 0;
@@ -136,4 +136,4 @@
     double miss = 1;                           // chance of a fill
 };
 
-}  // namespace nettlethread
+}  // namespace sumackeel::routing
--- a/src/front_signed/front.cpp
+++ b/src/signed_url_server/signed_url_server.cpp
@@ -1,4 +1,4 @@
-#include "front_signed/front.h"
+#include "signed_url_server/signed_url_server.h"
 
 #include <http_parser.h>
 
@@ -8,11 +8,11 @@
 
 #include "base/log.h"
 
-namespace sumackeel::front_signed {
+namespace sumackeel::signed_url_server {
 
 using base::Handle;
 using base::Micros;
-using core::Answered;
+using core::ResponseStatus;
 
 namespace {
 
@@ -79,8 +79,8 @@
 
 }  // namespace
 
-struct Front::Client : net::Guest {
-    Front& front;
+struct SignedUrlServer::Client : net::ClientConnection {
+    SignedUrlServer& front;
     http_parser parser{};
     std::string ahead;  // bytes behind the request that is being answered
     std::string url, name, value, body;
@@ -91,7 +91,7 @@
     bool busy = false, whole = false, keep = true, heard = false;
     Handle ours, cores;
 
-    explicit Client(Front& owner) : front(owner) {
+    explicit Client(SignedUrlServer& owner) : front(owner) {
         http_parser_init(&parser, HTTP_REQUEST);
         parser.data = this;
     }
@@ -146,20 +146,21 @@
         return 0;
     }
 
-    void received(net::Stream&, std::string_view bytes) override {
-        came = arrived_at();
-        if (left_meanwhile()) return front.door_.part(*this);
+    void on_data(net::Stream&, std::string_view bytes) override {
+        came = received_at();
+        if (peer_has_left()) return front.connection_manager_.close(*this);
         ahead += bytes;
         work();
-        if (front.door_.drain().refuses(front.loop_.clock().now())) front.hurry(*this);
+        if (front.connection_manager_.drain().rejects_new_requests(front.loop_.clock().now()))
+            front.hurry(*this);
         tell_door();
     }
-    void request_timed_out() override {
+    void on_request_timeout() override {
         if (!busy && parser.nread > 0)
             front.write(*this, front.problem_of(408, "the request did not come whole in time"), true);
     }
     bool too_far_ahead() const { return ahead.size() > kMostAhead; }
-    void drained(net::Stream&) override { tell_door(true); }
+    void on_write_drained(net::Stream&) override { tell_door(true); }
 
     // Parses up to the end of one request; the rest waits until that is answered.
     void work() {
@@ -182,44 +183,46 @@
     void tell_door(bool has_read = false) {
         if (!stream()) return;
         stream()->pause(too_far_ahead());
-        const net::Doing doing = busy                                 ? net::Doing::busy
-                                 : stream()->unsent() > 0             ? net::Doing::unsent
-                                 : !heard                             ? net::Doing::arriving
-                                 : parser.nread > 0 || !ahead.empty() ? net::Doing::sending
-                                                                      : net::Doing::idle;
-        front.door_.now(*this, doing, has_read);
+        const net::ConnectionState doing = busy                           ? net::ConnectionState::processing
+                                           : stream()->unsent_bytes() > 0 ? net::ConnectionState::flushing
+                                           : !heard ? net::ConnectionState::awaiting_request
+                                           : parser.nread > 0 || !ahead.empty()
+                                               ? net::ConnectionState::receiving
+                                               : net::ConnectionState::idle;
+        front.connection_manager_.set_state(*this, doing, has_read);
     }
-    void left() override {
+    void on_closed() override {
         front.open_.remove(ours);
-        front.core_.leave(cores);
+        front.core_.cancel(cores);
     }
 };
 
-Front::Front(net::Loop& loop, core::Core& core, const config::Site& site, const config::SignedFront& setup,
-             core::OneTime* one_time, std::uint64_t seed, Live live)
+SignedUrlServer::SignedUrlServer(net::Loop& loop, core::Core& core, const config::Site& site,
+                                 const config::SignedUrlServer& setup, core::OneTimeTokens* one_time,
+                                 std::uint64_t seed, LiveSettings live)
     : loop_(loop),
       core_(core),
       site_(site),
       setup_(setup),
       live_(std::move(live)),
-      gate_(std::make_unique<Gate>(setup_, live_)),
+      gate_(std::make_unique<LinkVerifier>(setup_, live_)),
       one_time_(one_time),
       ids_(seed ^ 0x5eed5eed5eed5eedULL),
-      door_(loop, setup.listen, setup.connections,
-            {.request = kPatience, .idle = kPatience, .reading = kPatience},
-            [this] { return std::make_unique<Client>(*this); }) {}
+      connection_manager_(loop, setup.listen, setup.connections,
+                          {.request = kPatience, .idle = kPatience, .write = kPatience},
+                          [this] { return std::make_unique<Client>(*this); }) {}
 
-void Front::renew(const config::SignedFront& setup) {
+void SignedUrlServer::update_config(const config::SignedUrlServer& setup) {
     setup_ = setup;
-    gate_ = std::make_unique<Gate>(setup_, live_);
-    door_.set_connections(setup.connections);
+    gate_ = std::make_unique<LinkVerifier>(setup_, live_);
+    connection_manager_.set_max_connections(setup.connections);
 }
 
-double Front::now_s() const {
+double SignedUrlServer::now_s() const {
     return static_cast<double>(loop_.clock().unix_now().micros) / 1e6;
 }
 
-int Front::retry_after() const {
+int SignedUrlServer::retry_after() const {
     const auto live = live_ ? live_("setting/retry_after_s") : std::nullopt;
     int seconds = 0;
     if (live) std::from_chars(live->data(), live->data() + live->size(), seconds);
@@ -227,29 +230,30 @@
 }
 
 // Empty: the request is sound; else what is wrong, with the status.
-std::string Front::read_ask(const Client& client, const Target& target, core::Ask& ask, int& status) const {
+std::string SignedUrlServer::read_ask(const Client& client, const Target& target, core::Request& ask,
+                                      int& status) const {
     const auto place = std::find(site_.classes.begin(), site_.classes.end(), target.service);
     if (place == site_.classes.end()) return status = 404, "no such class";
-    ask.service = static_cast<int>(place - site_.classes.begin());
-    const nettlethread::ClassSettings& service = site_.settings.classes[ask.service];
+    ask.class_index = static_cast<int>(place - site_.classes.begin());
+    const routing::ClassSettings& service = site_.settings.classes[ask.class_index];
     const auto method = static_cast<http_method>(client.parser.method);
-    if (method != (service.uncached ? HTTP_POST : HTTP_GET)) return status = 405, "not by this method";
-    if (!service.uncached && !client.body.empty()) return status = 400, "a read has no body";
+    if (method != (service.uncacheable ? HTTP_POST : HTTP_GET)) return status = 405, "not by this method";
+    if (!service.uncacheable && !client.body.empty()) return status = 400, "a read has no body";
     // Danger: without its group a copy could not be known for purged.
-    if (!service.uncached && target.group < 0) return status = 400, "set is missing";
+    if (!service.uncacheable && target.group < 0) return status = 400, "set is missing";
     const auto header = [&](const char* name) {
         const auto found = client.headers.find(name);
         return found == client.headers.end() ? std::string{} : found->second;
     };
-    ask.service_name = target.service;
+    ask.class_name = target.service;
     ask.object = target.object;
     ask.part = target.part;
-    ask.group = std::max(0, target.group);
+    ask.purge_group = std::max(0, target.group);
     ask.size_kb = target.size_kb;
-    ask.came = client.came;
-    ask.left = wanted_wait(header("prefer"), service.give_up);
-    if (!service.uncached) ask.have = bare_tag(header("if-none-match"));
-    if (service.semantics == nettlethread::Semantics::keyed) {
+    ask.received_at = client.came;
+    ask.time_left = wanted_wait(header("prefer"), service.deadline);
+    if (!service.uncacheable) ask.client_etag = bare_tag(header("if-none-match"));
+    if (service.retry_safety == routing::RetrySafety::with_idempotency_key) {
         ask.idempotency_key = bare_tag(header("idempotency-key"));
         if (ask.idempotency_key.empty()) return status = 400, "Idempotency-Key is missing or can't be used";
     }
@@ -257,124 +261,127 @@
     return {};
 }
 
-void Front::asked(Client& client) {
-    if (door_.drain().refuses(loop_.clock().now()))
+void SignedUrlServer::asked(Client& client) {
+    if (connection_manager_.drain().rejects_new_requests(loop_.clock().now()))
         return problem(client, 503, "this proxy sends its clients away, nothing ran");
     const auto host = client.headers.find("host");
     Target target;
     if (host == client.headers.end() || lower(host->second) != lower(setup_.host) ||
-        !read_target(client.url, target))
+        !parse_target(client.url, target))
         return problem(client, 404, "nothing is served here under this name");
-    core::Ask ask;
+    core::Request ask;
     int status = 0;
     if (const std::string fault = read_ask(client, target, ask, status); !fault.empty())
         return problem(client, status, fault);
     std::string bearer;
     if (const auto found = client.headers.find("authorization"); found != client.headers.end())
         if (lower(found->second.substr(0, 7)) == "bearer ") bearer = found->second.substr(7);
-    const bool effect = site_.settings.classes[ask.service].uncached;
-    const Verdict verdict = gate_->check(target, bearer, effect, now_s());
-    if (verdict.status != 0) return problem(client, verdict.status, verdict.why);
+    const bool effect = site_.settings.classes[ask.class_index].uncacheable;
+    const LinkCheck verdict = gate_->check(target, bearer, effect, now_s());
+    if (verdict.status != 0) return problem(client, verdict.status, verdict.reason);
     ask.id = fmt::format("{:016x}", ids_());
-    client.ours = open_.add({client.number(), {}});
-    if (verdict.once.empty()) return enter(client.ours, std::move(ask));
-    if (!one_time_) return once_known(client.ours, std::move(ask), core::Use::unknown);
-    open_.find(client.ours)->once = verdict.once;
-    one_time_->use(verdict.once, now_s(), verdict.once_until,
-                   [this, ours = client.ours, ask = std::move(ask),
-                    alive = std::weak_ptr<bool>(alive_)](core::Use use) mutable {
-                       if (alive.expired()) return;
-                       once_known(ours, std::move(ask), use);
-                   });
+    client.ours = open_.add({client.id(), {}});
+    if (verdict.one_time_id.empty()) return enter(client.ours, std::move(ask));
+    if (!one_time_) return once_known(client.ours, std::move(ask), core::TokenUse::unknown);
+    open_.find(client.ours)->once = verdict.one_time_id;
+    one_time_->redeem(verdict.one_time_id, now_s(), verdict.one_time_expires_at,
+                      [this, ours = client.ours, ask = std::move(ask),
+                       alive = std::weak_ptr<bool>(alive_)](core::TokenUse use) mutable {
+                          if (alive.expired()) return;
+                          once_known(ours, std::move(ask), use);
+                      });
 }
 
-void Front::once_known(Handle ours, core::Ask ask, core::Use use) {
+void SignedUrlServer::once_known(Handle ours, core::Request ask, core::TokenUse use) {
     const Open* open = open_.find(ours);
     if (!open) return;  // the client has left; the link counts as used
-    if (use == core::Use::first) return enter(ours, std::move(ask));
-    Client& client = static_cast<Client&>(*door_.find(open->client));
+    if (use == core::TokenUse::first) return enter(ours, std::move(ask));
+    Client& client = static_cast<Client&>(*connection_manager_.find(open->client));
     open_.remove(ours);
     client.ours = {};
-    if (use == core::Use::again) return problem(client, 403, "the link was for one use and has been used");
+    if (use == core::TokenUse::reused)
+        return problem(client, 403, "the link was for one use and has been used");
     problem(client, 503, "whether the link has been used can't be told now");
 }
 
-void Front::enter(Handle ours, core::Ask ask) {
-    Client& client = static_cast<Client&>(*door_.find(open_.find(ours)->client));
-    if (core_.open_requests() >= static_cast<std::size_t>(std::max(1, site_.settings.most_held)) ||
-        ask.came + ask.left <= loop_.clock().now())
-        return answer(ours.number(), {.how = Answered::refused});
-    client.cores = core_.take(std::move(ask), *this, ours.number());
-    if (client.too_far_ahead() || door_.drain().refuses(loop_.clock().now())) hurry(client);
+void SignedUrlServer::enter(Handle ours, core::Request ask) {
+    Client& client = static_cast<Client&>(*connection_manager_.find(open_.find(ours)->client));
+    if (core_.open_requests() >= static_cast<std::size_t>(std::max(1, site_.settings.max_in_flight)) ||
+        ask.received_at + ask.time_left <= loop_.clock().now())
+        return on_response(ours.number(), {.status = ResponseStatus::rejected});
+    client.cores = core_.submit(std::move(ask), *this, ours.number());
+    if (client.too_far_ahead() || connection_manager_.drain().rejects_new_requests(loop_.clock().now()))
+        hurry(client);
 }
 
 // During a drain what is open may not keep its connection beyond the drain's own time where further requests
 // were sent behind it.
-void Front::hurry(Client& client) {
-    if (!door_.drain().on() || !client.busy || client.ahead.empty()) return;
-    core_.answer_by(client.cores, door_.drain().answer_by(loop_.clock().now()));
+void SignedUrlServer::hurry(Client& client) {
+    if (!connection_manager_.drain().is_active() || !client.busy || client.ahead.empty()) return;
+    core_.set_response_deadline(client.cores,
+                                connection_manager_.drain().response_deadline(loop_.clock().now()));
 }
 
-void Front::send_away(bool on, const ops::Drain& drain) {
-    const bool changed = door_.drain().on() != drain.on();
-    door_.set_drain(drain);
-    door_.send_away(on);
+void SignedUrlServer::set_draining(bool on, const admin::DrainSchedule& drain) {
+    const bool changed = connection_manager_.drain().is_active() != drain.is_active();
+    connection_manager_.set_drain(drain);
+    connection_manager_.set_draining(on);
     if (!changed) return;
-    open_.each([&](Handle, const Open& open) {
-        auto* client = static_cast<Client*>(door_.find(open.client));
+    open_.for_each([&](Handle, const Open& open) {
+        auto* client = static_cast<Client*>(connection_manager_.find(open.client));
         if (!client) return;
-        if (drain.on() && client->too_far_ahead()) hurry(*client);
-        if (!drain.on()) core_.answer_by(client->cores, std::nullopt);
+        if (drain.is_active() && client->too_far_ahead()) hurry(*client);
+        if (!drain.is_active()) core_.set_response_deadline(client->cores, std::nullopt);
     });
 }
 
 // Whether the connection ends behind this answer, which then says so. During a drain requests that were sent
 // ahead are answered first, for as long as the drain has time.
-bool Front::is_last(const Client& client) const {
+bool SignedUrlServer::is_last(const Client& client) const {
     if (!client.keep || leaving_) return true;
-    if (!door_.drain().on()) return false;
-    if (door_.drain().stage(loop_.clock().now()) >= ops::DrainStage::closing) return true;
-    return client.ahead.empty() && !client.stream()->unread();
+    if (!connection_manager_.drain().is_active()) return false;
+    if (connection_manager_.drain().stage(loop_.clock().now()) >= admin::DrainStage::closing) return true;
+    return client.ahead.empty() && !client.stream()->has_unread_data();
 }
 
-void Front::answer(std::uint64_t cookie, core::Reply reply_given) {
+void SignedUrlServer::on_response(std::uint64_t cookie, core::Response reply_given) {
     const Handle ours = Handle::of(cookie);
     const Open* open = open_.find(ours);
     if (!open) return;
-    auto* found = static_cast<Client*>(door_.find(open->client));
-    if (reply_given.how == Answered::refused && !open->once.empty()) one_time_->give_back(open->once);
+    auto* found = static_cast<Client*>(connection_manager_.find(open->client));
+    if (reply_given.status == ResponseStatus::rejected && !open->once.empty()) one_time_->release(open->once);
     open_.remove(ours);
     if (!found) return;
     Client& client = *found;
     client.ours = client.cores = {};
-    const std::string etag = reply_given.tag.empty() ? "" : "ETag: \"" + reply_given.tag + "\"\r\n";
-    switch (reply_given.how) {
-        case Answered::served:
+    const std::string etag = reply_given.etag.empty() ? "" : "ETag: \"" + reply_given.etag + "\"\r\n";
+    switch (reply_given.status) {
+        case ResponseStatus::served:
             return reply(client, {200, "Content-Type: application/octet-stream\r\n" + etag,
                                   std::move(reply_given.body)});
-        case Answered::same:
+        case ResponseStatus::not_modified:
             return reply(client, {304, etag, {}});
-        case Answered::refused: {
-            const auto advised = static_cast<int>((reply_given.come_back + 999'999) / 1'000'000);
-            const int wait = reply_given.come_back > 0 ? advised : retry_after();
+        case ResponseStatus::rejected: {
+            const auto advised = static_cast<int>((reply_given.retry_after + 999'999) / 1'000'000);
+            const int wait = reply_given.retry_after > 0 ? advised : retry_after();
             return reply(
                 client,
                 {503, fmt::format("Retry-After: {}\r\nContent-Type: application/problem+json\r\n", wait),
                  R"({"status":503,"title":"Service Unavailable","detail":"refused, nothing ran"})"});
         }
-        case Answered::out_of_time:
+        case ResponseStatus::deadline_exceeded:
             return problem(client, 504, "no answer came in time");
-        case Answered::failed:
+        case ResponseStatus::failed:
             return problem(client, 502, "the request failed");
     }
 }
 
 // Details are words of this program's own, so they need no escapes.
-void Front::problem(Client& client, int status, const std::string& detail) {
+void SignedUrlServer::problem(Client& client, int status, const std::string& detail) {
     reply(client, problem_of(status, detail));
 }
 
-Front::Answer Front::problem_of(int status, const std::string& detail) const {
+SignedUrlServer::Answer SignedUrlServer::problem_of(int status, const std::string& detail) const {
     std::string headers = "Content-Type: application/problem+json\r\n";
     if (status == 401) headers += "WWW-Authenticate: Bearer error=\"invalid_token\"\r\n";
     if (status == 405) headers += "Allow: GET, POST\r\n";
@@ -383,7 +390,7 @@
             fmt::format(R"({{"status":{},"title":"{}","detail":"{}"}})", status, title(status), detail)};
 }
 
-void Front::write(Client& client, const Answer& answer, bool last) {
+void SignedUrlServer::write(Client& client, const Answer& answer, bool last) {
     std::string text =
         fmt::format("HTTP/1.1 {} {}\r\n{}", answer.status, title(answer.status), answer.headers);
     if (answer.status != 304) text += fmt::format("Content-Length: {}\r\n", answer.body.size());
@@ -392,22 +399,25 @@
     client.stream()->write(text + answer.body);
 }
 
-void Front::reply(Client& client, const Answer& answer) {
+void SignedUrlServer::reply(Client& client, const Answer& answer) {
     if (!client.stream()) return;
     const bool last = is_last(client);
     write(client, answer, last);
     client.busy = false;
-    if (last) return door_.part(client, door_.drain().on() ? net::EndReason::drain : net::EndReason::front);
+    if (last)
+        return connection_manager_.close(client, connection_manager_.drain().is_active()
+                                                     ? net::CloseReason::drain
+                                                     : net::CloseReason::protocol);
     client.tell_door();
     // What was sent ahead is taken up from the loop: answers may come in the middle of the core's work.
     if (!client.ahead.empty())
-        loop_.deadlines().set(loop_.clock().now(), [this, number = client.number()] {
-            auto* found = static_cast<Client*>(door_.find(number));
+        loop_.timers().schedule(loop_.clock().now(), [this, number = client.id()] {
+            auto* found = static_cast<Client*>(connection_manager_.find(number));
             if (!found) return;
             found->work();
             found->tell_door();
-            core_.run();
+            core_.process_events();
         });
 }
 
-}  // namespace sumackeel::front_signed
+}  // namespace sumackeel::signed_url_server
--- a/src/front_signed/links.cpp
+++ b/src/signed_url_server/signed_urls.cpp
@@ -1,4 +1,4 @@
-#include "front_signed/links.h"
+#include "signed_url_server/signed_urls.h"
 
 #include <json/json.h>
 #include <openssl/evp.h>
@@ -8,7 +8,7 @@
 #include <charconv>
 #include <cmath>
 
-namespace sumackeel::front_signed {
+namespace sumackeel::signed_url_server {
 
 using config::Purpose;
 
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-bool read_target(std::string_view text, Target& target) {
+bool parse_target(std::string_view text, Target& target) {
     const auto mark = std::min(text.find('?'), text.size());
     std::string_view path = text.substr(0, mark), query = text.substr(std::min(mark + 1, text.size()));
     target.path = path;
@@ -114,32 +114,32 @@
     return names.size() == 2 || (read_number(names[2], target.part) && target.part >= 0);
 }
 
-std::string Gate::uri(const Target& target) const {
+std::string LinkVerifier::uri(const Target& target) const {
     return front_.scheme + "://" + front_.host + target.path +
            (target.query.empty() ? "" : "?" + target.query);
 }
 
 // A live setting may widen or narrow the leeway, within the same bounds as the operator's file.
-double Gate::leeway() const {
+double LinkVerifier::leeway() const {
     const auto live = live_ ? live_("setting/leeway_s") : std::nullopt;
     double seconds = 0;
     return live && read_number(*live, seconds) && seconds >= 0 && seconds <= 60 ? seconds : front_.leeway_s;
 }
 
-bool Gate::in_force(const std::optional<Claims>& claims) const {
+bool LinkVerifier::in_force(const std::optional<Claims>& claims) const {
     return claims && !(live_ && live_("key/" + claims->kid) == "off");
 }
 
-bool Gate::in_time(const Claims& claims, double now) const {
+bool LinkVerifier::in_time(const Claims& claims, double now) const {
     return claims.expires && now < *claims.expires + leeway() &&
            (!claims.not_before || now >= *claims.not_before - leeway());
 }
 
-bool Gate::for_us(const Claims& claims) const {
+bool LinkVerifier::for_us(const Claims& claims) const {
     return contains(claims.audience, front_.audience);
 }
 
-std::string Gate::why_not_link(const Claims& link, const Target& target, double now) const {
+std::string LinkVerifier::why_not_link(const Claims& link, const Target& target, double now) const {
     if (link.version.value_or(kVersion) != kVersion) return "the link is of another version";
     static const std::vector<std::string> understood{"iss", "sub", "aud",    "exp",
                                                      "nbf", "jti", "cdniuc", "cdniv"};
@@ -156,7 +156,7 @@
     return here ? "" : "the link is for another path";
 }
 
-Verdict Gate::check(const Target& target, std::string_view bearer, bool effect, double now) const {
+LinkCheck LinkVerifier::check(const Target& target, std::string_view bearer, bool effect, double now) const {
     const auto student = keys_.verify(bearer, Purpose::student, now);
     if (!in_force(student) || student->subject.empty() || !contains(front_.token_issuers, student->issuer) ||
         !for_us(*student) || !in_time(*student, now))
@@ -171,16 +171,17 @@
     if (live_ && !link->id.empty() && live_("revoked/" + link->id))
         return {403, "the link was revoked", {}, 0};
     if (effect && link->id.empty()) return {403, "this needs a link for one use", {}, 0};
-    Verdict verdict;
+    LinkCheck verdict;
     if (!link->id.empty()) {
-        verdict.once = link->issuer + '\n' + link->id;
-        verdict.once_until = *link->expires + leeway();
+        verdict.one_time_id = link->issuer + '\n' + link->id;
+        verdict.one_time_expires_at = *link->expires + leeway();
     }
     return verdict;
 }
 
-std::string Gate::sign(const Target& target, const std::string& link_kid, const std::string& subject_kid,
-                       const std::string& student, double expires, const std::string& jti) const {
+std::string LinkVerifier::sign(const Target& target, const std::string& link_kid,
+                               const std::string& subject_kid, const std::string& student, double expires,
+                               const std::string& jti) const {
     Json::Value claims(Json::objectValue);
     claims["iss"] = front_.link_issuers.empty() ? "" : front_.link_issuers.front();
     claims["aud"] = front_.audience;
@@ -193,7 +194,8 @@
            keys_.sign(link_kid, to_text(claims));
 }
 
-std::string Gate::student_token(const std::string& kid, const std::string& student, double expires) const {
+std::string LinkVerifier::student_token(const std::string& kid, const std::string& student,
+                                        double expires) const {
     Json::Value claims(Json::objectValue);
     claims["iss"] = front_.token_issuers.empty() ? "" : front_.token_issuers.front();
     claims["aud"] = front_.audience;
@@ -202,4 +204,4 @@
     return keys_.sign(kid, to_text(claims));
 }
 
-}  // namespace sumackeel::front_signed
+}  // namespace sumackeel::signed_url_server
--- a/src/front_signed/links.h
+++ b/src/signed_url_server/signed_urls.h
@@ -7,9 +7,9 @@
 #include <string_view>
 
 #include "config/operator.h"
-#include "front_signed/tokens.h"
+#include "signed_url_server/tokens.h"
 
-namespace sumackeel::front_signed {
+namespace sumackeel::signed_url_server {
 
 // A request's target, taken apart: /CLASS/OBJECT/PART?set=17&need=412.5, signed or not yet.
 struct Target {
@@ -21,25 +21,25 @@
 };
 
 // False: not a target of this service.
-bool read_target(std::string_view text, Target& target);
+bool parse_target(std::string_view text, Target& target);
 
-struct Verdict {
+struct LinkCheck {
     int status = 0;  // 0: let in; 401 or 403: not
-    std::string why;
-    std::string once;       // to be used once at most under this name; empty: as often as wanted
-    double once_until = 0;  // the name need not be kept longer, Unix seconds
+    std::string reason;
+    std::string one_time_id;         // to be used once at most under this name; empty: as often as wanted
+    double one_time_expires_at = 0;  // the name need not be kept longer, Unix seconds
 };
 
 // What operators have set meanwhile: revoked/JTI, key/KID (off), setting/leeway_s, setting/retry_after_s.
-using Live = std::function<std::optional<std::string>(const std::string& key)>;
+using LiveSettings = std::function<std::optional<std::string>(const std::string& key)>;
 
-class Gate {
+class LinkVerifier {
   public:
-    explicit Gate(const config::SignedFront& front, Live live = {})
+    explicit LinkVerifier(const config::SignedUrlServer& front, LiveSettings live = {})
         : front_(front), live_(std::move(live)), keys_(front.keys) {}
 
     // `bearer` is the student's token. `effect`: the request has an effect, so its link is for one use.
-    Verdict check(const Target& target, std::string_view bearer, bool effect, double now) const;
+    LinkCheck check(const Target& target, std::string_view bearer, bool effect, double now) const;
 
     // The signed form of a link for one student. `jti` empty: for any number of uses until it expires.
     std::string sign(const Target& target, const std::string& link_kid, const std::string& subject_kid,
@@ -55,9 +55,9 @@
     bool in_time(const Claims& claims, double now) const;
     bool for_us(const Claims& claims) const;
 
-    const config::SignedFront& front_;
-    Live live_;
+    const config::SignedUrlServer& front_;
+    LiveSettings live_;
     Keys keys_;
 };
 
-}  // namespace sumackeel::front_signed
+}  // namespace sumackeel::signed_url_server
--- a/src/front_signed/tokens.cpp
+++ b/src/signed_url_server/tokens.cpp
@@ -1,4 +1,4 @@
-#include "front_signed/tokens.h"
+#include "signed_url_server/tokens.h"
 
 #include <cjose/cjose.h>
 #include <json/json.h>
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <set>
 
-namespace sumackeel::front_signed {
+namespace sumackeel::signed_url_server {
 
 using config::ConfigError;
 using config::Purpose;
@@ -233,4 +233,4 @@
     return text.get();
 }
 
-}  // namespace sumackeel::front_signed
+}  // namespace sumackeel::signed_url_server
--- a/src/front_signed/tokens.h
+++ b/src/signed_url_server/tokens.h
@@ -12,7 +12,7 @@
 
 struct _cjose_jwk_int;
 
-namespace sumackeel::front_signed {
+namespace sumackeel::signed_url_server {
 
 // The claims that are looked at. Times are Unix seconds; absent ones are empty.
 struct Claims {
@@ -57,4 +57,4 @@
 // Alike for equal lengths, whatever the bytes.
 bool same_secret(std::string_view a, std::string_view b);
 
-}  // namespace sumackeel::front_signed
+}  // namespace sumackeel::signed_url_server
--- a/src/sim/adapter.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -5,19 +5,19 @@
 #include <string>
 #include <vector>
 
-#include "nettlethread/router.h"
-#include "sim/wire.h"
+#include "routing/router.h"
+#include "simulator_adapter/simulator_protocol.h"
 
 namespace {
 
-using nettlethread::Action;
-using nettlethread::Micros;
-using nettlethread::Router;
+namespace simulator_adapter = sumackeel::simulator_adapter;
 using nlohmann::json;
-namespace wire = nettlethread::wire;
+using sumackeel::routing::Action;
+using sumackeel::routing::Micros;
+using sumackeel::routing::Router;
 
 struct Instance {
-    wire::Names names;
+    simulator_adapter::Names names;
     Router router;
 };
 
@@ -25,11 +25,11 @@
   public:
     json reply_to(const json& batch) {
         if (!batch.is_object() || !batch.contains("now") || !batch["now"].is_number_integer())
-            throw wire::WireError("batch: no clock in 'now'");
+            throw simulator_adapter::WireError("batch: no clock in 'now'");
         const auto now = batch["now"].get<Micros>();
         json groups = json::array();
         if (!batch.contains("groups") || !batch["groups"].is_array())
-            throw wire::WireError("batch: 'groups' is missing or not an array");
+            throw simulator_adapter::WireError("batch: 'groups' is missing or not an array");
         for (const json& group : batch["groups"]) {
             json reply = answer_group(now, group);
             if (!reply.is_null()) groups.push_back(std::move(reply));
@@ -40,9 +40,9 @@
   private:
     json answer_group(Micros now, const json& group) {
         if (!group.is_object() || !group.contains("i") || !group["i"].is_string())
-            throw wire::WireError("group: no instance in 'i'");
+            throw simulator_adapter::WireError("group: no instance in 'i'");
         if (!group.contains("arrivals") || !group["arrivals"].is_array())
-            throw wire::WireError("group: 'arrivals' is missing or not an array");
+            throw simulator_adapter::WireError("group: 'arrivals' is missing or not an array");
         const auto name = group["i"].get<std::string>();
         json done = json::array();
         for (const json& message : group["arrivals"]) handle(name, now, message, done);
@@ -51,27 +51,28 @@
     }
 
     void handle(const std::string& name, Micros now, const json& message, json& done) {
-        const std::string event = wire::message_name(message);
+        const std::string event = simulator_adapter::message_name(message);
         if (event == "new_instance") {
-            wire::Start start = wire::read_start(message);
+            simulator_adapter::Start start = simulator_adapter::read_start(message);
             instances_.insert_or_assign(name, Instance{start.names, Router(start.settings, start.seed)});
             return;
         }
         auto found = instances_.find(name);
-        if (found == instances_.end()) throw wire::WireError("group: unknown instance '" + name + "'");
+        if (found == instances_.end())
+            throw simulator_adapter::WireError("group: unknown instance '" + name + "'");
         if (event == "exit") {
             instances_.erase(found);
             done = json::array();  // what it asked for in this batch goes with it
             return;
         }
-        const nettlethread::Event read = wire::read_event(message, found->second.names);
+        const sumackeel::routing::Event read = simulator_adapter::read_event(message, found->second.names);
         std::vector<Action> actions;
         try {
             found->second.router.handle(now, read, actions);
         } catch (const std::exception& broken) {
             done.push_back(json::array({"panic", broken.what()}));
         }
-        for (const Action& action : actions) done.push_back(wire::write_action(action));
+        for (const Action& action : actions) done.push_back(simulator_adapter::write_action(action));
     }
 
     std::map<std::string, Instance> instances_;
@@ -89,7 +90,7 @@
         try {
             std::cout << adapter.reply_to(json::parse(line)).dump() << '\n' << std::flush;
         } catch (const std::exception& wrong) {
-            std::cerr << "nettlethread_adapter: line " << number << ": " << wrong.what() << '\n';
+            std::cerr << "simulator_adapter: line " << number << ": " << wrong.what() << '\n';
             return 1;
         }
     }
--- a/src/sim/wire.cpp
+++ b/src/simulator_adapter/simulator_protocol.cpp
@@ -1,4 +1,4 @@
-#include "sim/wire.h"
+#include "simulator_adapter/simulator_protocol.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,10 +7,10 @@
 
 #include "config/config.h"
 
-namespace nettlethread::wire {
+namespace sumackeel::simulator_adapter {
 
 using nlohmann::json;
-namespace config = sumackeel::config;
+using namespace routing;
 
 namespace {
 
@@ -105,17 +105,17 @@
     return found == names.end() ? -1 : static_cast<int>(found - names.begin());
 }
 
-Verdict read_verdict(const Fields& fields, std::size_t place) {
-    return word<Verdict>(fields.where(), fields.text(place),
-                         {{"completed", Verdict::served},
-                          {"errored", Verdict::error},
-                          {"saturated", Verdict::full},
-                          {"overdue", Verdict::timed_out},
-                          {"refused_conn", Verdict::not_connected},
-                          {"severed", Verdict::broken_off},
-                          {"recalled", Verdict::called_off},
-                          {"superseded", Verdict::never_sent},
-                          {"lookup_miss", Verdict::missing}});
+AttemptStatus read_verdict(const Fields& fields, std::size_t place) {
+    return word<AttemptStatus>(fields.where(), fields.text(place),
+                               {{"completed", AttemptStatus::served},
+                                {"errored", AttemptStatus::error},
+                                {"saturated", AttemptStatus::overloaded},
+                                {"overdue", AttemptStatus::timed_out},
+                                {"refused_conn", AttemptStatus::connect_failed},
+                                {"severed", AttemptStatus::connection_reset},
+                                {"recalled", AttemptStatus::cancelled},
+                                {"superseded", AttemptStatus::not_sent},
+                                {"lookup_miss", AttemptStatus::not_found}});
 }
 
 // Values that are not known or not sound numbers are skipped.
@@ -124,7 +124,8 @@
     const json* value = fields.at(place);
     if (!value) return load;
     if (!value->is_object()) bad(fields.where(), "load report is not an object");
-    const std::pair<const char*, double*> known[] = {{"outstanding", &load.held}, {"x1", &load.link}};
+    const std::pair<const char*, double*> known[] = {{"outstanding", &load.in_flight},
+                                                     {"x1", &load.ingress_utilization}};
     for (const auto& [name, into] : known) {
         auto found = value->find(name);
         if (found == value->end() || !found->is_number()) continue;
@@ -134,70 +135,70 @@
     return load;
 }
 
-CacheEntry read_entry(const json& item, const Names& names) {
+Endpoint read_entry(const json& item, const Names& names) {
     if (!item.is_array()) bad("view entry", "not an array");
     const Fields fields(item, "view entry");
-    CacheEntry entry;
+    Endpoint entry;
     entry.weight = fields.number_or(0, 1);
-    entry.cache = fields.text(1);
-    entry.state = word<CacheState>(fields.where(), fields.text(2),
-                                   {{"in_service", CacheState::ready},
-                                    {"terminating", CacheState::draining},
-                                    {"terminated", CacheState::gone}});
+    entry.name = fields.text(1);
+    entry.state = word<EndpointState>(fields.where(), fields.text(2),
+                                      {{"in_service", EndpointState::ready},
+                                       {"terminating", EndpointState::draining},
+                                       {"terminated", EndpointState::removed}});
     entry.zone = place_of(names.zones, fields.text_or_none(3));
-    entry.since = fields.integer_or(4, 0);
+    entry.started_at = fields.integer_or(4, 0);
     entry.kind = place_of(names.kinds, fields.text_or_none(5));
     entry.cell = fields.integer_or(6, -1);
     return entry;
 }
 
 Event read_view(const Fields& fields, const Names& names) {
-    ListNews news;
+    EndpointUpdate news;
     news.version = fields.integer_or(1, 0);
-    news.kind = word<ListKind>(fields.where(), fields.text(2),
-                               {{"INCREMENTAL", ListKind::changes},
-                                {"FULL", ListKind::full},
-                                {"SAVED", ListKind::saved},
-                                {"FAILED", ListKind::failed}});
+    news.kind = word<EndpointUpdateKind>(fields.where(), fields.text(2),
+                                         {{"INCREMENTAL", EndpointUpdateKind::incremental},
+                                          {"FULL", EndpointUpdateKind::full},
+                                          {"SAVED", EndpointUpdateKind::snapshot},
+                                          {"FAILED", EndpointUpdateKind::failed}});
     if (const json* entries = fields.at(3)) {
         if (!entries->is_array()) bad(fields.where(), "entries are not an array");
-        for (const json& item : *entries) news.entries.push_back(read_entry(item, names));
+        for (const json& item : *entries) news.endpoints.push_back(read_entry(item, names));
     }
     return news;
 }
 
 Event read_call(const Fields& fields, const Names& names) {
-    Arrival arrival;
+    RequestReceived arrival;
     arrival.id = fields.text(1);
-    arrival.service = place_of(names.classes, fields.text(2));
-    if (arrival.service < 0) bad(fields.where(), "unknown class '" + fields.text(2) + "'");
+    arrival.class_index = place_of(names.classes, fields.text(2));
+    if (arrival.class_index < 0) bad(fields.where(), "unknown class '" + fields.text(2) + "'");
     arrival.tenant = place_of(names.tenants, fields.text_or_none(3));
     arrival.object = fields.text_or_none(4);
-    arrival.grace = fields.integer(5);
+    arrival.time_left = fields.integer(5);
     arrival.size_kb = fields.number_or(6, 0);
-    arrival.group = static_cast<int>(fields.integer_or(7, 0));
+    arrival.purge_group = static_cast<int>(fields.integer_or(7, 0));
     arrival.part = static_cast<int>(fields.integer_or(8, 0));
     const std::int64_t bits = fields.integer_or(9, 0);
-    arrival.client_repeat = (bits & 2) != 0;
+    arrival.client_retry = (bits & 2) != 0;
     arrival.write = (bits & 4) != 0;
     return arrival;
 }
 
-Note read_note(std::int64_t number) {
-    const auto last = static_cast<std::int64_t>(Note::origin_failed);
-    return number < 0 || number > last ? Note::none : static_cast<Note>(number);
+CacheStatus read_note(std::int64_t number) {
+    const auto last = static_cast<std::int64_t>(CacheStatus::origin_failed);
+    return number < 0 || number > last ? CacheStatus::unknown : static_cast<CacheStatus>(number);
 }
 
 Event read_completed(const Fields& fields) {
-    Outcome outcome;
+    AttemptFinished outcome;
     outcome.id = fields.text(1);
     outcome.attempt = static_cast<int>(fields.integer_or(2, 0));
-    outcome.cache = fields.text(3);
-    outcome.verdict = read_verdict(fields, 4);
-    outcome.took = fields.integer_or(5, 0);
-    outcome.ended = fields.flag_or(6, false);
-    outcome.note = read_note(fields.integer_or(7, 0));
-    outcome.first_byte = fields.integer_or(8, 0);
+    outcome.endpoint = fields.text(3);
+    outcome.status = read_verdict(fields, 4);
+    outcome.elapsed = fields.integer_or(5, 0);
+    outcome.request_finished = fields.flag_or(6, false);
+    outcome.cache_status = read_note(fields.integer_or(7, 0));
+    outcome.time_to_first_byte = fields.integer_or(8, 0);
     outcome.load = read_load(fields, 9);
     return outcome;
 }
@@ -224,19 +225,19 @@
 }
 
 // One overload an action.
-json write(const LookUp& a) {
-    return {"route", a.id, a.cache, a.timeout};
+json write(const Lookup& a) {
+    return {"route", a.id, a.endpoint, a.timeout};
 }
-json write(const Serve& a) {
-    const int switches =
-        (a.join ? 1 : 0) + (a.source_holds ? 2 : 0) + (a.parent_skips ? 4 : 0) + (a.renew ? 8 : 0);
-    return {"serve_via", a.id, a.timeout, a.cache, a.age, switches, a.source, a.rank};
+json write(const Forward& a) {
+    const int switches = (a.coalesce ? 1 : 0) + (a.source_cached_only ? 2 : 0) +
+                         (a.parent_bypasses_cache ? 4 : 0) + (a.revalidate ? 8 : 0);
+    return {"serve_via", a.id, a.timeout, a.endpoint, a.max_age, switches, a.source, a.cache_priority};
 }
 json write(const SetTimer& a) {
     return {"remind", a.at, a.token};
 }
-json write(const Refuse& a) {
-    return {"shed", a.id, a.come_back};
+json write(const Reject& a) {
+    return {"shed", a.id, a.retry_after};
 }
 json write(const Fail& a) {
     return json::array({"lose", a.id});
@@ -244,22 +245,22 @@
 json write(const Cancel& a) {
     return {"revoke", a.id, a.attempt};
 }
-json write(const TellPeer& a) {
+json write(const SendGossip& a) {
     return {"publish", a.to < 0 ? json("*") : json(a.to), hex_from_bytes(a.bytes)};
 }
-json write(const WatchList& a) {
-    return json::array({"keep_informed", a.on});
+json write(const WatchEndpoints& a) {
+    return json::array({"keep_informed", a.enabled});
 }
-json write(const FetchList&) {
+json write(const PollEndpoints&) {
     return json::array({"refresh"});
 }
-json write(const Probe& a) {
-    return json::array({"touch", a.cache});
+json write(const SendHealthCheck& a) {
+    return json::array({"touch", a.endpoint});
 }
-json write(const CloseIdle& a) {
-    return json::array({"close", a.cache});
+json write(const CloseIdleConnections& a) {
+    return json::array({"close", a.endpoint});
 }
-json write(const Log& a) {
+json write(const LogMessage& a) {
     return json::array({"record", a.text});
 }
 
@@ -276,7 +277,7 @@
     Start start;
     start.seed = get_as<std::uint64_t>(fields.need(1), "new_instance.nonce64");
     try {
-        config::Site site = config::read_site(fields.need(2).dump());
+        config::Site site = config::parse_site(fields.need(2).dump());
         start.settings = std::move(site.settings);
         start.names = {std::move(site.classes), std::move(site.zones), std::move(site.kinds),
                        std::move(site.tenants)};
@@ -291,19 +292,20 @@
     const Fields fields(message, name);
     if (name == "call") return read_call(fields, names);
     if (name == "completed") return read_completed(fields);
-    if (name == "wake") return TimerDue{fields.token(1)};
+    if (name == "wake") return TimerExpired{fields.token(1)};
     if (name == "view") return read_view(fields, names);
-    if (name == "cancelled_by_client") return ClientLeft{fields.text(1)};
+    if (name == "cancelled_by_client") return ClientCancelled{fields.text(1)};
     if (name == "flowing")
-        return StreamStarted{fields.text(1), fields.text(2), static_cast<int>(fields.integer_or(3, 0)),
-                             fields.integer_or(4, 0)};
+        return ResponseStarted{fields.text(1), fields.text(2), static_cast<int>(fields.integer_or(3, 0)),
+                               fields.integer_or(4, 0)};
     if (name == "recalled")
         return Purge{static_cast<int>(fields.integer_or(1, 0)), fields.integer_or(2, 0),
                      fields.text_or_none(3)};
     if (name == "check_result")
-        return ProbeAnswer{fields.text(1), read_verdict(fields, 2), fields.integer_or(3, 0),
-                           read_load(fields, 4)};
-    if (name == "datagram") return PeerNews{static_cast<int>(fields.integer(1)), bytes_from_hex(fields, 2)};
+        return HealthCheckResult{fields.text(1), read_verdict(fields, 2), fields.integer_or(3, 0),
+                                 read_load(fields, 4)};
+    if (name == "datagram")
+        return GossipReceived{static_cast<int>(fields.integer(1)), bytes_from_hex(fields, 2)};
     bad(name, "unknown event");
 }
 
@@ -311,4 +313,4 @@
     return std::visit([](const auto& a) { return write(a); }, action);
 }
 
-}  // namespace nettlethread::wire
+}  // namespace sumackeel::simulator_adapter
--- a/src/sim/wire.h
+++ b/src/simulator_adapter/simulator_protocol.h
@@ -6,9 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "nettlethread/router.h"
+#include "routing/router.h"
 
-namespace nettlethread::wire {
+namespace sumackeel::simulator_adapter {
+
+using routing::Action;
+using routing::Event;
+using routing::Settings;
 
 // What was wrong with a line and where.
 class WireError : public std::runtime_error {
@@ -33,4 +37,4 @@
 Event read_event(const nlohmann::json& message, const Names& names);
 nlohmann::json write_action(const Action& action);
 
-}  // namespace nettlethread::wire
+}  // namespace sumackeel::simulator_adapter
--- a/src/store/old_store.cpp
+++ b/src/store/legacy_store_import.cpp
@@ -1,4 +1,4 @@
-#include "store/old_store.h"
+#include "store/legacy_store_import.h"
 
 #include <fmt/format.h>
 #include <json/json.h>
@@ -66,12 +66,12 @@
 
 }  // namespace
 
-bool has_old_store(const std::string& folder) {
+bool has_legacy_store(const std::string& folder) {
     return std::filesystem::exists(folder + "/log") || std::filesystem::exists(folder + "/snapshot");
 }
 
-OldStore read_old_store(const std::string& folder) {
-    OldStore old;
+LegacyStore read_legacy_store(const std::string& folder) {
+    LegacyStore old;
     std::int64_t last = 0;
     if (const auto promise = sealed_file(folder + "/promise")) old.leader = text(*promise, "leader");
     if (const auto snapshot = sealed_file(folder + "/snapshot")) {
--- a/src/store/old_store.h
+++ b/src/store/legacy_store_import.h
@@ -14,16 +14,16 @@
     using std::runtime_error::runtime_error;
 };
 
-struct OldStore {
+struct LegacyStore {
     std::map<std::string, std::string> values;  // by key
     std::string leader;                         // the last one promised to; empty: none was
     std::size_t records = 0;                    // behind the snapshot
 };
 
 // False: no such store was ever there.
-bool has_old_store(const std::string& folder);
+bool has_legacy_store(const std::string& folder);
 // A torn last record was never acknowledged and is left out; anything else that does not add up is a
 // StoreError.
-OldStore read_old_store(const std::string& folder);
+LegacyStore read_legacy_store(const std::string& folder);
 
 }  // namespace sumackeel::store
--- a/src/store/redis_one_time.cpp
+++ b/src/store/redis_one_time_tokens.cpp
@@ -1,4 +1,4 @@
-#include "store/redis_one_time.h"
+#include "store/redis_one_time_tokens.h"
 
 #include <hiredis/adapters/libuv.h>
 #include <hiredis/async.h>
@@ -11,7 +11,7 @@
 
 namespace sumackeel::store {
 
-using core::Use;
+using core::TokenUse;
 
 namespace {
 
@@ -21,32 +21,32 @@
 }  // namespace
 
 // One question out. Whoever comes first, the answer or the deadline, settles it.
-struct RedisOneTime::Asked {
+struct RedisOneTimeTokens::Asked {
     Done done;
-    base::Deadlines::Key by;
+    base::TimerQueue::Key by;
     bool settled = false;
     std::shared_ptr<Asked> self;  // held for hiredis until its callback
 
-    void settle(Use use) {
+    void settle(TokenUse use) {
         if (!std::exchange(settled, true)) done(use);
     }
 };
 
-RedisOneTime::RedisOneTime(net::Loop& loop, const std::string& address, base::Micros patience)
+RedisOneTimeTokens::RedisOneTimeTokens(net::Loop& loop, const std::string& address, base::Micros patience)
     : loop_(loop), patience_(patience) {
     sockaddr_in at{};
-    if (!net::read_address(address, at)) throw config::ConfigError("redis: no address: " + address);
+    if (!net::parse_address(address, at)) throw config::ConfigError("redis: no address: " + address);
     host_ = address.substr(0, address.rfind(':'));
     port_ = ntohs(at.sin_port);
     connect();
 }
 
-RedisOneTime::~RedisOneTime() {
+RedisOneTimeTokens::~RedisOneTimeTokens() {
     alive_.reset();
     if (context_) redisAsyncFree(context_);
 }
 
-void RedisOneTime::connect() {
+void RedisOneTimeTokens::connect() {
     up_ = false;
     context_ = redisAsyncConnect(host_.c_str(), port_);
     if (!context_ || context_->err) {
@@ -57,57 +57,57 @@
     context_->data = this;
     redisLibuvAttach(context_, loop_.raw());
     redisAsyncSetConnectCallback(context_, [](const redisAsyncContext* context, int status) {
-        auto* self = static_cast<RedisOneTime*>(context->data);
+        auto* self = static_cast<RedisOneTimeTokens*>(context->data);
         self->up_ = status == REDIS_OK;
         if (status == REDIS_OK) return;
         self->context_ = nullptr;  // hiredis frees it
         self->lost();
     });
     redisAsyncSetDisconnectCallback(context_, [](const redisAsyncContext* context, int) {
-        auto* self = static_cast<RedisOneTime*>(context->data);
+        auto* self = static_cast<RedisOneTimeTokens*>(context->data);
         if (!self->alive_) return;
         self->context_ = nullptr;
         self->lost();
     });
 }
 
-void RedisOneTime::lost() {
+void RedisOneTimeTokens::lost() {
     if (std::exchange(up_, false)) log::warn("redis is gone: links for one use are refused");
-    loop_.deadlines().set(loop_.clock().now() + kAgainAfter, [this, alive = std::weak_ptr<bool>(alive_)] {
+    loop_.timers().schedule(loop_.clock().now() + kAgainAfter, [this, alive = std::weak_ptr<bool>(alive_)] {
         if (!alive.expired() && !context_) connect();
     });
 }
 
-void RedisOneTime::use(const std::string& name, double now, double until, Done done) {
-    if (!context_ || !up_) return done(Use::unknown);
+void RedisOneTimeTokens::redeem(const std::string& name, double now, double until, Done done) {
+    if (!context_ || !up_) return done(TokenUse::unknown);
     const std::string key = kPrefix + name;
     const auto ms = static_cast<long long>(std::clamp(std::ceil((until - now) * 1000), 1000.0, 1e12));
     auto asked = std::make_shared<Asked>();
     asked->done = std::move(done);
     asked->self = asked;
-    asked->by =
-        loop_.deadlines().set(loop_.clock().now() + patience_, [asked] { asked->settle(Use::unknown); });
+    asked->by = loop_.timers().schedule(loop_.clock().now() + patience_,
+                                        [asked] { asked->settle(TokenUse::unknown); });
     const int sent = redisAsyncCommand(
         context_,
         [](redisAsyncContext* context, void* answer, void* data) {
             const std::shared_ptr<Asked> told = std::move(static_cast<Asked*>(data)->self);
-            auto* self = static_cast<RedisOneTime*>(context->data);
+            auto* self = static_cast<RedisOneTimeTokens*>(context->data);
             if (!self->alive_) return;
-            self->loop_.deadlines().drop(told->by);
+            self->loop_.timers().cancel(told->by);
             const auto* reply = static_cast<redisReply*>(answer);
             const bool first =
                 reply && reply->type == REDIS_REPLY_STATUS && std::string_view(reply->str) == "OK";
             const bool again = reply && reply->type == REDIS_REPLY_NIL;
-            told->settle(first ? Use::first : again ? Use::again : Use::unknown);
+            told->settle(first ? TokenUse::first : again ? TokenUse::reused : TokenUse::unknown);
         },
         asked.get(), "SET %b 1 NX PX %lld", key.data(), key.size(), ms);
     if (sent == REDIS_OK) return;
-    loop_.deadlines().drop(asked->by);
+    loop_.timers().cancel(asked->by);
     asked->self.reset();
-    asked->settle(Use::unknown);
+    asked->settle(TokenUse::unknown);
 }
 
-void RedisOneTime::give_back(const std::string& name) {
+void RedisOneTimeTokens::release(const std::string& name) {
     if (!context_ || !up_) return;  // the link stays used, which is the safe side
     const std::string key = kPrefix + name;
     redisAsyncCommand(context_, nullptr, nullptr, "DEL %b", key.data(), key.size());
--- a/src/store/redis_one_time.h
+++ b/src/store/redis_one_time_tokens.h
@@ -6,22 +6,22 @@
 #include <memory>
 #include <string>
 
-#include "core/one_time.h"
+#include "core/one_time_tokens.h"
 #include "net/loop.h"
 
 struct redisAsyncContext;
 
 namespace sumackeel::store {
 
-class RedisOneTime : public core::OneTime {
+class RedisOneTimeTokens : public core::OneTimeTokens {
   public:
-    RedisOneTime(net::Loop& loop, const std::string& address, base::Micros patience = 250'000);
-    ~RedisOneTime() override;
-    RedisOneTime(const RedisOneTime&) = delete;
-    RedisOneTime& operator=(const RedisOneTime&) = delete;
+    RedisOneTimeTokens(net::Loop& loop, const std::string& address, base::Micros patience = 250'000);
+    ~RedisOneTimeTokens() override;
+    RedisOneTimeTokens(const RedisOneTimeTokens&) = delete;
+    RedisOneTimeTokens& operator=(const RedisOneTimeTokens&) = delete;
 
-    void use(const std::string& name, double now, double until, Done done) override;
-    void give_back(const std::string& name) override;
+    void redeem(const std::string& name, double now, double until, Done done) override;
+    void release(const std::string& name) override;
 
   private:
     struct Asked;
--- a/src/store/desk.cpp
+++ b/src/store/store_api.cpp
@@ -1,4 +1,4 @@
-#include "store/desk.h"
+#include "store/store_api.h"
 
 #include <algorithm>
 
@@ -16,14 +16,14 @@
 
 }  // namespace
 
-struct Desk::Caller : net::Stream::Owner, std::enable_shared_from_this<Caller> {
-    Desk& desk;
+struct StoreApi::Caller : net::Stream::Handler, std::enable_shared_from_this<Caller> {
+    StoreApi& desk;
     net::Stream* stream = nullptr;
     std::string buffer;
     base::Micros asked = 0;
 
-    explicit Caller(Desk& d) : desk(d), asked(d.loop_.clock().now()) {}
-    void received(net::Stream&, std::string_view bytes) override {
+    explicit Caller(StoreApi& d) : desk(d), asked(d.loop_.clock().now()) {}
+    void on_data(net::Stream&, std::string_view bytes) override {
         buffer += bytes;
         asked = desk.loop_.clock().now();
         const auto self = shared_from_this();
@@ -36,7 +36,7 @@
     void question(const std::string& line) {
         const auto answer = [caller = std::weak_ptr<Caller>(shared_from_this())](const Json::Value& value) {
             const auto there = caller.lock();
-            if (there && there->stream) there->stream->write(base::json_line(value));
+            if (there && there->stream) there->stream->write(base::to_json_line(value));
         };
         try {
             const Json::Value value = config::parse(line, "store");
@@ -48,7 +48,7 @@
             answer(no);
         }
     }
-    void gone(net::Stream&, net::Gone) override {
+    void on_close(net::Stream&, net::DisconnectCause) override {
         stream = nullptr;
         desk.took(*this);
     }
@@ -58,7 +58,8 @@
     }
 };
 
-Desk::Desk(net::Loop& loop, net::Budget& budget, const std::string& listen, Take take)
+StoreApi::StoreApi(net::Loop& loop, net::SocketBudget& budget, const std::string& listen,
+                   QuestionHandler take)
     : loop_(loop), budget_(budget), take_(std::move(take)), listener_(loop, listen, [this] {
           const int fd = listener_.accept();
           if (fd < 0) return;
@@ -71,26 +72,26 @@
           caller->stream = net::Stream::adopt(loop_, budget_, fd, *caller);
           if (!caller->stream) return;
           callers_.push_back(caller);
-          loop_.deadlines().set(loop_.clock().now() + kIdle, [caller = std::weak_ptr<Caller>(caller), this,
-                                                              alive = std::weak_ptr<bool>(alive_)] {
+          loop_.timers().schedule(loop_.clock().now() + kIdle, [caller = std::weak_ptr<Caller>(caller), this,
+                                                                alive = std::weak_ptr<bool>(alive_)] {
               const auto there = caller.lock();
               if (alive.expired() || !there || !there->stream) return;
               if (loop_.clock().now() - there->asked >= kIdle) there->shut();
           });
       }) {}
 
-Desk::~Desk() {
+StoreApi::~StoreApi() {
     alive_.reset();
     for (const auto& caller : callers_)
         if (auto* open = std::exchange(caller->stream, nullptr)) open->close();
 }
 
 // Not from within its own call: what holds it may be the stream's.
-void Desk::took(Caller& caller) {
+void StoreApi::took(Caller& caller) {
     const auto place =
         std::find_if(callers_.begin(), callers_.end(), [&](const auto& one) { return one.get() == &caller; });
     if (place == callers_.end()) return;
-    loop_.deadlines().set(loop_.clock().now(), [kept = std::move(*place)] {});
+    loop_.timers().schedule(loop_.clock().now(), [kept = std::move(*place)] {});
     callers_.erase(place);
 }
 
--- a/src/store/desk.h
+++ b/src/store/store_api.h
@@ -14,16 +14,16 @@
 
 namespace sumackeel::store {
 
-class Desk {
+class StoreApi {
   public:
     using Answer = std::function<void(const Json::Value&)>;  // dropped where the caller has gone
-    using Take = std::function<void(const Json::Value& question, const Answer& answer)>;
+    using QuestionHandler = std::function<void(const Json::Value& question, const Answer& answer)>;
 
     // Throws where `listen` can't be used.
-    Desk(net::Loop& loop, net::Budget& budget, const std::string& listen, Take take);
-    ~Desk();
-    Desk(const Desk&) = delete;
-    Desk& operator=(const Desk&) = delete;
+    StoreApi(net::Loop& loop, net::SocketBudget& budget, const std::string& listen, QuestionHandler take);
+    ~StoreApi();
+    StoreApi(const StoreApi&) = delete;
+    StoreApi& operator=(const StoreApi&) = delete;
     int port() const { return listener_.port(); }
 
   private:
@@ -31,8 +31,8 @@
     void took(Caller& caller);
 
     net::Loop& loop_;
-    net::Budget& budget_;
-    Take take_;
+    net::SocketBudget& budget_;
+    QuestionHandler take_;
     std::vector<std::shared_ptr<Caller>> callers_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     net::Listener listener_;
--- a/src/upstream/lines.h
+++ b/src/upstream/cache_protocol.h
@@ -9,34 +9,34 @@
 
 namespace sumackeel::upstream {
 
-class LineError : public std::runtime_error {
+class ProtocolError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
 // A request as it goes on the wire, but for the limit: that is what is left when it is written.
-class RequestText {
+class RequestEncoder {
   public:
-    explicit RequestText(const core::Sending& sending);
-    std::string at(base::Micros now) const;
-    base::Micros until() const { return until_; }
+    explicit RequestEncoder(const core::AttemptRequest& sending);
+    std::string encode_at(base::Micros now) const;
+    base::Micros deadline() const { return deadline_; }
 
   private:
     std::string before_limit_, behind_limit_;
-    base::Micros until_;
+    base::Micros deadline_;
 };
-std::string write_stop(const std::string& id);
+std::string encode_cancel(const std::string& id);
 
-struct Answer {
+struct CacheResponse {
     std::string id;
-    core::Ending ending;
+    core::AttemptResult result;
 };
 
 // Takes bytes as they come and gives whole answers. Throws LineError on what can't be an answer.
-class AnswerReader {
+class ResponseReader {
   public:
-    void add(std::string_view bytes);
-    bool next(Answer& answer);
+    void append(std::string_view bytes);
+    bool next(CacheResponse& answer);
     bool partial() const { return in_body_ || at_ < buffer_.size(); }  // an answer has begun to come
 
   private:
@@ -46,7 +46,7 @@
     std::size_t at_ = 0;
     bool in_body_ = false;
     std::size_t length_ = 0;
-    Answer answer_;
+    CacheResponse answer_;
 };
 
 }  // namespace sumackeel::upstream
--- a/src/upstream/pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "upstream/pool.h"
+#include "upstream/connection_pool.h"
 
 #include <algorithm>
 #include <tuple>
@@ -10,7 +10,7 @@
 
 namespace sumackeel::upstream {
 
-using nettlethread::Verdict;
+using routing::AttemptStatus;
 
 namespace {
 
@@ -44,8 +44,8 @@
 
 }  // namespace
 
-struct Pool::Channel : net::Stream::Owner {
-    Pool& pool;
+struct ConnectionPool::Channel : net::Stream::Handler {
+    ConnectionPool& pool;
     std::uint64_t number;
     std::string target;
     net::Stream* stream = nullptr;
@@ -54,7 +54,7 @@
     bool suspect = false;  // an attempt ran out of time here without a byte in the meanwhile
     struct Waiting {
         std::string id;
-        RequestText request;
+        RequestEncoder request;
         Micros begin_by;       // 0: no such moment
         bool put_off = false;  // once already, until what came meanwhile is read
     };
@@ -64,19 +64,20 @@
     std::vector<Waiting> waiting;
     std::unordered_map<std::string, Open> open;
     std::unordered_set<std::string> given_up;  // written here, stopped, and not answered since
-    AnswerReader reader;
+    ResponseReader reader;
     Micros heard = 0;  // last byte that came, or the first sent after a pause
     Micros used = 0;
-    base::Deadlines::Key connect_by;
+    base::TimerQueue::Key connect_by;
 
-    Channel(Pool& owner, std::uint64_t n, std::string to) : pool(owner), number(n), target(std::move(to)) {}
+    Channel(ConnectionPool& owner, std::uint64_t n, std::string to)
+        : pool(owner), number(n), target(std::move(to)) {}
 
-    void opened(net::Stream&) override {
-        pool.loop_.deadlines().drop(connect_by);
+    void on_open(net::Stream&) override {
+        pool.loop_.timers().cancel(connect_by);
         pool.opened_.push_back(number);
     }
 
-    bool can_write() const { return up && stream->unsent() == 0; }
+    bool can_write() const { return up && stream->unsent_bytes() == 0; }
 
     void begin() {
         up = true;
@@ -84,7 +85,7 @@
         write_waiting();
     }
 
-    void drained(net::Stream&) override {
+    void on_write_drained(net::Stream&) override {
         if (can_write()) write_waiting();
     }
 
@@ -101,7 +102,8 @@
             const Handle late = open.at(one.id).attempt;
             open.erase(one.id);
             pool.carried_.erase(late.number());
-            pool.core_.ended(late, core::Ending{.verdict = Verdict::not_connected});
+            pool.core_.on_attempt_finished(late,
+                                           core::AttemptResult{.status = AttemptStatus::connect_failed});
         }
     }
 
@@ -110,15 +112,15 @@
     Begin write(const Waiting& one) {
         for (;;) {
             const Micros now = pool.loop_.clock().now();
-            if (now >= one.request.until() || (one.begin_by > 0 && now >= one.begin_by))
+            if (now >= one.request.deadline() || (one.begin_by > 0 && now >= one.begin_by))
                 return Begin::too_late;
-            if (!one.put_off && pool.loop_.turn_age() > kTurnTooOld) return Begin::put_off;
-            const std::string text = one.request.at(now);
+            if (!one.put_off && pool.loop_.iteration_age() > kTurnTooOld) return Begin::put_off;
+            const std::string text = one.request.encode_at(now);
             if (pool.loop_.clock().now() - now > kLimitWithin) continue;
             Open& begun = open.at(one.id);
             begun.begun = true;
             begun.sent = now;
-            stream->write_at_once(text);
+            stream->write_immediately(text);
             return Begin::written;
         }
     }
@@ -127,17 +129,17 @@
     void put_off(Waiting one) {
         one.put_off = true;
         waiting.push_back(std::move(one));
-        pool.loop_.deadlines().set(pool.loop_.clock().now(), [&pool = pool, number = number] {
+        pool.loop_.timers().schedule(pool.loop_.clock().now(), [&pool = pool, number = number] {
             const auto found = pool.channels_.find(number);
             if (found != pool.channels_.end() && found->second->can_write()) found->second->write_waiting();
         });
     }
 
-    void received(net::Stream&, std::string_view bytes) override {
+    void on_data(net::Stream&, std::string_view bytes) override {
         heard = pool.loop_.clock().now();
         suspect = false;
-        reader.add(bytes);
-        Answer answer;
+        reader.append(bytes);
+        CacheResponse answer;
         while (reader.next(answer)) {
             const auto found = open.find(answer.id);
             if (found == open.end()) {  // given up already
@@ -148,14 +150,14 @@
             open.erase(found);
             used = heard;
             pool.carried_.erase(attempt.number());
-            pool.core_.ended(attempt, std::move(answer.ending));
+            pool.core_.on_attempt_finished(attempt, std::move(answer.result));
         }
     }
 
-    void gone(net::Stream&, net::Gone how) override {
+    void on_close(net::Stream&, net::DisconnectCause how) override {
         stream = nullptr;
         lost = true;
-        if (how == net::Gone::refused) {
+        if (how == net::DisconnectCause::connect_failed) {
             log::debug("{} refused a connection", target);
             Target& to = pool.targets_[target];
             const bool others =
@@ -166,10 +168,10 @@
     }
 };
 
-Pool::Pool(net::Loop& loop, net::Budget& budget, core::Core& core, Limits limits)
+ConnectionPool::ConnectionPool(net::Loop& loop, net::SocketBudget& budget, core::Core& core, Limits limits)
     : loop_(loop), budget_(budget), core_(core), limits_(limits) {
     sweep();
-    loop_.each_turn([this] {
+    loop_.on_each_iteration([this] {
         begin_opened();
         dead_.clear();
     });
@@ -177,19 +179,19 @@
 
 // Danger: in the turn in which a connection came up a client whose request waits for it may have left, and
 // that is read behind it. So nothing goes out before all that had come by then is known.
-void Pool::begin_opened() {
+void ConnectionPool::begin_opened() {
     for (const std::uint64_t number : std::exchange(opened_, {})) {
         const auto found = channels_.find(number);
         if (found != channels_.end()) found->second->begin();
     }
 }
 
-Pool::~Pool() {
+ConnectionPool::~ConnectionPool() {
     for (auto& [number, channel] : channels_)
         if (channel->stream) channel->stream->close();
 }
 
-void Pool::place(const std::string& name, const std::string& address) {
+void ConnectionPool::set_address(const std::string& name, const std::string& address) {
     Target& target = targets_[name];
     target.retired = false;
     if (target.address == address) return;
@@ -200,27 +202,27 @@
     for (Channel* channel : old) drop(*channel, channel->up);
 }
 
-void Pool::retire(const std::string& name) {
+void ConnectionPool::retire(const std::string& name) {
     const auto found = targets_.find(name);
     if (found != targets_.end()) found->second.retired = true;
 }
 
-void Pool::retire_all_but(const std::vector<std::string>& names) {
+void ConnectionPool::retain_only(const std::vector<std::string>& names) {
     for (auto& [name, target] : targets_)
         if (std::find(names.begin(), names.end(), name) == names.end()) target.retired = true;
 }
 
-bool Pool::silent(const Channel& channel) const {
+bool ConnectionPool::silent(const Channel& channel) const {
     if (channel.suspect || channel.given_up.size() >= kMostGivenUp) return true;
     // What is written to it does not even leave here: a request would begin who knows when.
-    if (channel.up && channel.stream->unsent() > 0) return true;
+    if (channel.up && channel.stream->unsent_bytes() > 0) return true;
     if (!channel.up || channel.open.empty()) return false;
     return loop_.clock().now() - channel.heard > kSilence;
 }
 
 // The least loaded channel that works and that the request has not used before: the name of a request stands
 // for one attempt on a channel, also after a STOP. A silent one only where no other can be had.
-Pool::Channel* Pool::pick(Target& target, const core::Sending& sending) {
+ConnectionPool::Channel* ConnectionPool::pick(Target& target, const core::AttemptRequest& sending) {
     Channel* best = nullptr;
     // Of those alike the one heard last: what has long been idle is the likelier to be gone.
     const auto rank = [this](const Channel& c) {
@@ -228,11 +230,12 @@
     };
     for (const auto& channel : target.channels) {
         if (channel->open.size() >= static_cast<std::size_t>(limits_.streams_per_conn)) continue;
-        const auto& avoid = sending.avoid;
+        const auto& avoid = sending.avoid_connections;
         if (std::find(avoid.begin(), avoid.end(), channel->number) != avoid.end()) continue;
         // Danger: under a name that was used here before, by whichever client, the answer to that one may
         // come.
-        if (channel->open.contains(sending.ask->id) || channel->given_up.contains(sending.ask->id)) continue;
+        if (channel->open.contains(sending.request->id) || channel->given_up.contains(sending.request->id))
+            continue;
         // Half a line that nobody asked for: the rest of it would be read as the head of the next answer.
         if (channel->open.empty() && channel->reader.partial()) continue;
         if (!best || rank(*channel) < rank(*best)) best = channel.get();
@@ -244,13 +247,13 @@
     const bool may_dial =
         target.channels.size() < kMostChannels && (!trusted || loop_.clock().now() >= target.full_until);
     const int leave = trusted ? kForFirst + kForOthers : kForOthers;
-    if (!may_dial || (budget_.left() <= leave && !make_room(best))) return best;
+    if (!may_dial || (budget_.available() <= leave && !make_room(best))) return best;
     Channel* fresh = dial(sending.target, target);
     return fresh ? fresh : best;
 }
 
 // Closes the connection that has been idle the longest, whoever it leads to, but not `keep`.
-bool Pool::make_room(const Channel* keep) {
+bool ConnectionPool::make_room(const Channel* keep) {
     Channel* idle = nullptr;
     for (const auto& [number, channel] : channels_)
         if (channel != keep && channel->up && channel->open.empty() && (!idle || channel->used < idle->used))
@@ -259,9 +262,9 @@
     return idle != nullptr;
 }
 
-Pool::Channel* Pool::dial(const std::string& name, Target& target) {
+ConnectionPool::Channel* ConnectionPool::dial(const std::string& name, Target& target) {
     sockaddr_in address{};
-    if (!net::read_address(target.address, address)) return nullptr;
+    if (!net::parse_address(target.address, address)) return nullptr;
     auto channel = std::make_unique<Channel>(*this, next_channel_++, name);
     int why = 0;
     channel->stream = net::Stream::connect(loop_, budget_, address, *channel, &why);
@@ -271,11 +274,11 @@
     raw->used = loop_.clock().now();
     if (!raw->stream) dial_later(raw->number);
     raw->connect_by =
-        loop_.deadlines().set(raw->used + limits_.connect_timeout, [this, number = raw->number] {
+        loop_.timers().schedule(raw->used + limits_.connect_timeout, [this, number = raw->number] {
             const auto found = channels_.find(number);
             if (found == channels_.end() || found->second->up) return;
             drop(*found->second, false);
-            core_.run();
+            core_.process_events();
         });
     channels_[raw->number] = raw;
     target.channels.push_back(std::move(channel));
@@ -283,39 +286,40 @@
 }
 
 // What waits for the connection goes on waiting; no pop cache has failed by it.
-void Pool::dial_later(std::uint64_t number) {
-    loop_.deadlines().set(loop_.clock().now() + kDialAgain, [this, number] {
+void ConnectionPool::dial_later(std::uint64_t number) {
+    loop_.timers().schedule(loop_.clock().now() + kDialAgain, [this, number] {
         const auto found = channels_.find(number);
         if (found == channels_.end()) return;
         Channel& channel = *found->second;
         sockaddr_in address{};
         int why = 0;
-        if (net::read_address(targets_[channel.target].address, address))
+        if (net::parse_address(targets_[channel.target].address, address))
             channel.stream = net::Stream::connect(loop_, budget_, address, channel, &why);
         if (channel.stream) return;
         if (is_own_shortage(why)) return dial_later(number);
         channel.lost = why != 0;
         drop(channel, false);
-        core_.run();
+        core_.process_events();
     });
 }
 
-std::uint64_t Pool::send(const core::Sending& sending) {
+std::uint64_t ConnectionPool::start(const core::AttemptRequest& sending) {
     const auto place = targets_.find(sending.target);
     Channel* channel = place == targets_.end() ? nullptr : pick(place->second, sending);
     const Handle attempt = sending.attempt;
     if (!channel) {
         log::debug("no connection can be opened to {}", sending.target);
-        loop_.deadlines().set(loop_.clock().now(), [this, attempt] { end(attempt, Verdict::not_connected); });
+        loop_.timers().schedule(loop_.clock().now(),
+                                [this, attempt] { end(attempt, AttemptStatus::connect_failed); });
         return 0;
     }
     const Micros now = loop_.clock().now();
-    const std::string& id = sending.ask->id;
+    const std::string& id = sending.request->id;
     if (channel->open.empty()) channel->heard = now;
     channel->open[id] = {attempt, now};
     channel->used = now;
     carried_[attempt.number()] = {channel->number, id};
-    Channel::Waiting waiting{id, RequestText(sending), sending.begin_by};
+    Channel::Waiting waiting{id, RequestEncoder(sending), sending.start_deadline};
     if (!channel->can_write()) {
         channel->waiting.push_back(std::move(waiting));
         return channel->number;
@@ -327,21 +331,21 @@
             channel->put_off(std::move(waiting));
             break;
         case Channel::Begin::too_late:
-            loop_.deadlines().set(now, [this, attempt] { end_unbegun(attempt); });
+            loop_.timers().schedule(now, [this, attempt] { end_unbegun(attempt); });
             break;
     }
     return channel->number;
 }
 
-void Pool::end_unbegun(Handle attempt) {
+void ConnectionPool::end_unbegun(Handle attempt) {
     const auto found = carried_.find(attempt.number());
     if (found == carried_.end()) return;  // given up meanwhile
     const auto channel = channels_.find(found->second.channel);
     if (channel != channels_.end()) channel->second->open.erase(found->second.id);
-    end(attempt, Verdict::not_connected);
+    end(attempt, AttemptStatus::connect_failed);
 }
 
-bool Pool::stop(Handle attempt) {
+bool ConnectionPool::cancel(Handle attempt) {
     const auto found = carried_.find(attempt.number());
     if (found == carried_.end()) return true;
     const Where where = found->second;
@@ -356,38 +360,39 @@
         return false;
     }
     if (loop_.clock().now() - std::max(channel.heard, one.sent) > kSuspectAfter) channel.suspect = true;
-    channel.stream->write(write_stop(where.id));
+    channel.stream->write(encode_cancel(where.id));
     if (channel.given_up.size() < kMostGivenUp) channel.given_up.insert(where.id);
     return true;
 }
 
-bool Pool::unbegun(Handle attempt) const {
+bool ConnectionPool::not_started(Handle attempt) const {
     const auto found = carried_.find(attempt.number());
     const auto at = found == carried_.end() ? channels_.end() : channels_.find(found->second.channel);
     return at != channels_.end() && !at->second->open.at(found->second.id).begun;
 }
 
-bool Pool::is_short(Handle attempt) const {
+bool ConnectionPool::lacks_socket(Handle attempt) const {
     const auto found = carried_.find(attempt.number());
     const auto at = found == carried_.end() ? channels_.end() : channels_.find(found->second.channel);
     return at != channels_.end() && !at->second->stream && !at->second->lost;
 }
 
-void Pool::end(Handle attempt, Verdict verdict) {
+void ConnectionPool::end(Handle attempt, AttemptStatus verdict) {
     carried_.erase(attempt.number());
-    core_.ended(attempt, core::Ending{.verdict = verdict});
-    core_.run();
+    core_.on_attempt_finished(attempt, core::AttemptResult{.status = verdict});
+    core_.process_events();
 }
 
 // All that was open on the channel is over: it may have run if the channel had come up.
-void Pool::drop(Channel& channel, bool came_up) {
+void ConnectionPool::drop(Channel& channel, bool came_up) {
     if (!channels_.erase(channel.number)) return;
-    loop_.deadlines().drop(channel.connect_by);
+    loop_.timers().cancel(channel.connect_by);
     const bool ever_dialled = channel.stream || channel.lost;
     if (channel.stream) channel.stream->close();
     channel.stream = nullptr;
-    const Verdict unbegun = came_up || ever_dialled ? Verdict::not_connected
-                                                    : Verdict::never_sent;  // for want of a socket of our own
+    const AttemptStatus unbegun = came_up || ever_dialled
+                                      ? AttemptStatus::connect_failed
+                                      : AttemptStatus::not_sent;  // for want of a socket of our own
     Target& target = targets_[channel.target];
     const auto place = std::find_if(target.channels.begin(), target.channels.end(),
                                     [&](const auto& c) { return c.get() == &channel; });
@@ -399,11 +404,13 @@
               [](const Open& a, const Open& b) { return a.attempt.number() < b.attempt.number(); });
     for (const Open& one : open) {
         carried_.erase(one.attempt.number());
-        core_.ended(one.attempt, core::Ending{.verdict = one.begun ? Verdict::broken_off : unbegun});
+        core_.on_attempt_finished(
+            one.attempt,
+            core::AttemptResult{.status = one.begun ? AttemptStatus::connection_reset : unbegun});
     }
 }
 
-void Pool::close_idle(const std::string& name) {
+void ConnectionPool::close_idle_connections(const std::string& name) {
     const auto found = targets_.find(name);
     if (found == targets_.end()) return;
     std::vector<Channel*> idle;
@@ -412,7 +419,7 @@
     for (Channel* channel : idle) drop(*channel, true);
 }
 
-void Pool::sweep() {
+void ConnectionPool::sweep() {
     const Micros now = loop_.clock().now();
     std::vector<Channel*> idle, stalled;
     for (const auto& [number, channel] : channels_)
@@ -427,9 +434,9 @@
         log::debug("{} stopped in the middle of an answer", channel->target);
         drop(*channel, true);
     }
-    if (!stalled.empty()) core_.run();
+    if (!stalled.empty()) core_.process_events();
     std::erase_if(targets_, [](const auto& t) { return t.second.retired && t.second.channels.empty(); });
-    loop_.deadlines().set(now + kSweep, [this] { sweep(); });
+    loop_.timers().schedule(now + kSweep, [this] { sweep(); });
 }
 
 }  // namespace sumackeel::upstream
--- a/src/upstream/pool.h
+++ b/src/upstream/connection_pool.h
@@ -9,7 +9,7 @@
 
 #include "core/core.h"
 #include "net/stream.h"
-#include "upstream/lines.h"
+#include "upstream/cache_protocol.h"
 
 namespace sumackeel::upstream {
 
@@ -23,22 +23,22 @@
     Micros idle_close = 15'000'000;
 };
 
-class Pool : public core::Upstream {
+class ConnectionPool : public core::Upstream {
   public:
-    Pool(net::Loop& loop, net::Budget& budget, core::Core& core, Limits limits);
-    ~Pool() override;
+    ConnectionPool(net::Loop& loop, net::SocketBudget& budget, core::Core& core, Limits limits);
+    ~ConnectionPool() override;
 
     // Where a target listens from now on. Another address than before is another machine.
-    void place(const std::string& target, const std::string& address);
+    void set_address(const std::string& target, const std::string& address);
     // Nothing new is sent there; its connections close once nothing is open on them.
     void retire(const std::string& target);
-    void retire_all_but(const std::vector<std::string>& targets);
+    void retain_only(const std::vector<std::string>& targets);
 
-    std::uint64_t send(const core::Sending& sending) override;
-    bool stop(Handle attempt) override;
-    bool unbegun(Handle attempt) const override;
-    bool is_short(Handle attempt) const override;
-    void close_idle(const std::string& target) override;
+    std::uint64_t start(const core::AttemptRequest& sending) override;
+    bool cancel(Handle attempt) override;
+    bool not_started(Handle attempt) const override;
+    bool lacks_socket(Handle attempt) const override;
+    void close_idle_connections(const std::string& target) override;
 
   private:
     struct Open {
@@ -54,9 +54,9 @@
         bool retired = false;
     };
 
-    Channel* pick(Target& target, const core::Sending& sending);
+    Channel* pick(Target& target, const core::AttemptRequest& sending);
     Channel* dial(const std::string& name, Target& target);
-    void end(Handle attempt, nettlethread::Verdict verdict);
+    void end(Handle attempt, routing::AttemptStatus verdict);
     void drop(Channel& channel, bool came_up);
     void end_unbegun(Handle attempt);
     bool silent(const Channel& channel) const;
@@ -66,7 +66,7 @@
     void dial_later(std::uint64_t number);
 
     net::Loop& loop_;
-    net::Budget& budget_;
+    net::SocketBudget& budget_;
     core::Core& core_;
     Limits limits_;
     std::map<std::string, Target> targets_;
--- /dev/null
+++ b/tests/admin/drain_schedule_test.cpp
@@ -0,0 +1,60 @@
+// The stages of a drain, on times handed in.
+#include "admin/drain_schedule.h"
+
+#include <gtest/gtest.h>
+
+namespace {
+
+using sumackeel::admin::DrainSchedule;
+using sumackeel::admin::DrainStage;
+using sumackeel::admin::Micros;
+
+constexpr Micros kBegan = 1'000'000'000, kSecond = 1'000'000;
+constexpr Micros kNoneHeld = 4 * kSecond;  // the operators' page
+
+TEST(DrainSchedule, StagesFollowOneAnother) {
+    const DrainSchedule drain(kBegan);
+    const struct {
+        Micros since;
+        DrainStage stage;
+    } rows[] = {{0, DrainStage::serving},
+                {DrainSchedule::kServing - 1, DrainStage::serving},
+                {DrainSchedule::kServing, DrainStage::rejecting},
+                {DrainSchedule::kAnswered, DrainStage::closing},
+                {DrainSchedule::kForced, DrainStage::forcing},
+                {100 * kSecond, DrainStage::forcing}};
+    for (const auto& row : rows) EXPECT_EQ(drain.stage(kBegan + row.since), row.stage) << row.since;
+    EXPECT_EQ(DrainSchedule().stage(kBegan), DrainStage::none);
+    EXPECT_FALSE(DrainSchedule().rejects_new_requests(kBegan));
+}
+
+TEST(DrainSchedule, WhatCameInTheFirstTwoSecondsIsServedAndNothingIsHeldAtFour) {
+    EXPECT_GE(DrainSchedule::kServing, 2 * kSecond);
+    EXPECT_LT(DrainSchedule::kForced + DrainSchedule::kLateSilence, kNoneHeld);
+}
+
+TEST(DrainSchedule, OpenBesideARefusedOneIsAnsweredInTimeAndAtOnceWhereThatHasPassed) {
+    const DrainSchedule drain(kBegan);
+    EXPECT_EQ(drain.response_deadline(kBegan + 2 * kSecond), kBegan + DrainSchedule::kAnswered);
+    EXPECT_EQ(drain.response_deadline(kBegan + 5 * kSecond), kBegan + 5 * kSecond);
+}
+
+TEST(DrainSchedule, ARefusalIsHeldForAPartOfItsTimeNeverBeyondTheAnswers) {
+    const DrainSchedule drain(kBegan);
+    const Micros now = kBegan + DrainSchedule::kServing;
+    EXPECT_EQ(drain.rejection_deadline(now, 400'000), now + 100'000);
+    EXPECT_EQ(drain.rejection_deadline(now, 60 * kSecond), now + DrainSchedule::kHoldMost);
+    EXPECT_EQ(drain.rejection_deadline(kBegan + DrainSchedule::kAnswered, 60 * kSecond),
+              kBegan + DrainSchedule::kAnswered);
+    EXPECT_EQ(drain.rejection_deadline(kBegan + 9 * kSecond, 60 * kSecond), kBegan + 9 * kSecond);
+}
+
+TEST(DrainSchedule, PatienceOnlyShrinks) {
+    const DrainSchedule drain(kBegan);
+    EXPECT_EQ(DrainSchedule().timeout(15 * kSecond, kBegan), 15 * kSecond);
+    EXPECT_EQ(drain.timeout(15 * kSecond, kBegan), DrainSchedule::kSilence);
+    EXPECT_EQ(drain.timeout(1 * kSecond, kBegan), 1 * kSecond);
+    EXPECT_EQ(drain.timeout(1 * kSecond, kBegan + DrainSchedule::kAnswered), DrainSchedule::kLateSilence);
+}
+
+}  // namespace
--- a/tests/base/clock_test.cpp
+++ b/tests/base/clock_test.cpp
@@ -58,19 +58,19 @@
 
 TEST_F(ClockTest, CountsHowLongTheProcessStoodStill) {
     Clock clock(read_machine);
-    clock.expect(clock.now() + 20'000);
+    clock.expect_wakeup(clock.now() + 20'000);
     pass(20'000);
     clock.now();
-    EXPECT_EQ(clock.stalled(), 0);
+    EXPECT_EQ(clock.total_stall_time(), 0);
     pass(2 * kSecond);
     clock.now();
-    EXPECT_EQ(clock.stalled(), 2 * kSecond);
+    EXPECT_EQ(clock.total_stall_time(), 2 * kSecond);
     clock.now();
-    EXPECT_EQ(clock.stalled(), 2 * kSecond);
-    clock.expect(std::nullopt);  // waits for events alone: silence is no stall
+    EXPECT_EQ(clock.total_stall_time(), 2 * kSecond);
+    clock.expect_wakeup(std::nullopt);  // waits for events alone: silence is no stall
     pass(10 * kSecond);
     clock.now();
-    EXPECT_EQ(clock.stalled(), 2 * kSecond);
+    EXPECT_EQ(clock.total_stall_time(), 2 * kSecond);
 }
 
 }  // namespace
--- a/tests/group/group_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,9 +1,9 @@
 // The pure part: what it promises over many seeds on a virtual clock, and single hard cases.
 #include <gtest/gtest.h>
 
-#include "group/virtual_net.h"
+#include "cluster/virtual_network.h"
 
-namespace sumackeel::group {
+namespace sumackeel::cluster {
 namespace {
 
 constexpr Micros kPeriod = 1'000'000;
@@ -13,8 +13,8 @@
 
 // What a run showed that must not be.
 struct Watch {
-    explicit Watch(VirtualNet& net) : net(net) {
-        net.on_change = [this](int, const Change& change) {
+    explicit Watch(VirtualNetwork& net) : net(net) {
+        net.on_change = [this](int, const MemberChange& change) {
             deaths += change.to == State::dead;
             doubts += change.to == State::suspect;
         };
@@ -23,26 +23,26 @@
     void look() {
         for (int i = 0; i < net.size(); ++i) {
             if (!net.running(i)) continue;
-            const std::uint64_t life = net.at(i).self().life;
-            for (const Seen& seen : net.at(i).seen()) {
-                Stamp& before = stamps[{life, seen.word.name}];
-                EXPECT_GE(seen.word.stamp, before) << seen.word.name;
-                before = seen.word.stamp;
+            const std::uint64_t life = net.at(i).self().instance_id;
+            for (const MemberView& seen : net.at(i).members()) {
+                Incarnation& before = stamps[{life, seen.record.name}];
+                EXPECT_GE(seen.record.incarnation, before) << seen.record.name;
+                before = seen.record.incarnation;
             }
         }
     }
-    VirtualNet& net;
+    VirtualNetwork& net;
     int deaths = 0, doubts = 0;
-    std::map<std::pair<std::uint64_t, std::string>, Stamp> stamps;
+    std::map<std::pair<std::uint64_t, std::string>, Incarnation> stamps;
 };
 
-bool agree_within(VirtualNet& net, int periods) {
+bool agree_within(VirtualNetwork& net, int periods) {
     for (int i = 0; i < periods && !net.agreed(); ++i) net.run_until(net.now() + kPeriod);
     return net.agreed();
 }
 
 // A few faults by chance, one after another.
-void trouble(VirtualNet& net, std::mt19937_64& chance, Watch& watch) {
+void trouble(VirtualNetwork& net, std::mt19937_64& chance, Watch& watch) {
     const auto member = [&] { return static_cast<int>(chance() % static_cast<std::uint64_t>(net.size())); };
     for (int fault = 0; fault < 6; ++fault) {
         const int one = member(), other = member();
@@ -76,19 +76,19 @@
 }
 
 // A voice or word as one member would make it up about others.
-Datagram lie(const Word& liar, const std::string& to) {
-    return {.kind = Kind::tell, .from = liar.name, .to = to, .words = {liar}};
+Datagram lie(const MemberRecord& liar, const std::string& to) {
+    return {.kind = MessageKind::gossip, .from = liar.name, .to = to, .records = {liar}};
 }
 
 }  // namespace
 
 TEST(GroupProperties, WithNoFaultNobodyIsEverDoubtedOrCalledDead) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        VirtualNet net({.members = 3 + static_cast<int>(seed % 10),
-                        .group = {},
-                        .seed = seed,
-                        .delay = 20'000,
-                        .jitter = 30'000});
+        VirtualNetwork net({.members = 3 + static_cast<int>(seed % 10),
+                            .membership = {},
+                            .seed = seed,
+                            .delay = 20'000,
+                            .jitter = 30'000});
         Watch watch(net);
         net.run_until(30 * kPeriod);
         ASSERT_EQ(watch.deaths + watch.doubts, 0) << "seed " << seed;
@@ -98,7 +98,7 @@
 
 TEST(GroupProperties, AfterTheLastFaultAllAgreeAndNoStampGoesBack) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        VirtualNet net({.members = 3 + static_cast<int>(seed % 7), .group = {}, .seed = seed});
+        VirtualNetwork net({.members = 3 + static_cast<int>(seed % 7), .membership = {}, .seed = seed});
         Watch watch(net);
         std::mt19937_64 chance(seed * 77);
         trouble(net, chance, watch);
@@ -115,7 +115,7 @@
 
 TEST(GroupProperties, ADeadMemberIsNotRevivedByItsOldWords) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        VirtualNet net({.members = 5, .group = {}, .seed = seed});
+        VirtualNetwork net({.members = 5, .membership = {}, .seed = seed});
         std::vector<Datagram> old;
         net.on_send = [&](int from, const Datagram& datagram) {
             if (from == 1) old.push_back(datagram);
@@ -140,52 +140,52 @@
 
 TEST(GroupProperties, OneLiarKillsNobody) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        VirtualNet net({.members = 6, .group = {}, .seed = seed});
+        VirtualNetwork net({.members = 6, .membership = {}, .seed = seed});
         Watch watch(net);
         net.run_until(5 * kPeriod);
-        const Word liar = net.at(0).self();
+        const MemberRecord liar = net.at(0).self();
         for (int turn = 0; turn < 40; ++turn) {
             for (int to = 2; to < 6; ++to) {
-                Datagram made_up = lie(liar, VirtualNet::name_of(to));
+                Datagram made_up = lie(liar, VirtualNetwork::name_of(to));
                 // Its own voice, and voices that it lends to others; a leave and a later start it never had.
-                const Word& victim = net.at(1).self();
+                const MemberRecord& victim = net.at(1).self();
                 for (const char* by : {"n0", "n3", "n4", "n5"})
-                    made_up.doubts.push_back({.by = by,
-                                              .about = "n1",
-                                              .by_start = 1,
-                                              .stamp = victim.stamp,
-                                              .number = 1'000'000 + static_cast<std::uint64_t>(turn)});
-                Word left = victim;
-                left.stamp.incarnation += 5, left.phase = Phase::left;
-                made_up.words.push_back(left);
-                Word later = victim;
-                later.stamp.start += 5;
-                made_up.words.push_back(later);
+                    made_up.suspicions.push_back({.suspector = by,
+                                                  .subject = "n1",
+                                                  .suspector_start = 1,
+                                                  .incarnation = victim.incarnation,
+                                                  .number = 1'000'000 + static_cast<std::uint64_t>(turn)});
+                MemberRecord left = victim;
+                left.incarnation.refutations += 5, left.phase = Phase::left;
+                made_up.records.push_back(left);
+                MemberRecord later = victim;
+                later.incarnation.start += 5;
+                made_up.records.push_back(later);
                 net.inject(to, made_up);
             }
             // And to the victim, that another process has taken its name.
             Datagram taken = lie(liar, "n1");
-            Word other = net.at(1).self();
-            other.stamp.start += 3, other.life ^= 1;
-            taken.words.push_back(other);
+            MemberRecord other = net.at(1).self();
+            other.incarnation.start += 3, other.instance_id ^= 1;
+            taken.records.push_back(other);
             net.inject(1, taken);
             net.run_until(net.now() + kPeriod / 2);
         }
-        ASSERT_FALSE(net.at(1).displaced()) << "seed " << seed;
+        ASSERT_FALSE(net.at(1).is_displaced()) << "seed " << seed;
         ASSERT_EQ(watch.deaths, 0) << "seed " << seed;
         ASSERT_TRUE(agree_within(net, 30)) << "seed " << seed;
     }
 }
 
 TEST(GroupProperties, LossOfATenthKillsNobodyInAnHourOfFiveMembers) {
-    VirtualNet net({.members = 5, .group = {}, .seed = 7, .loss = 0.1});
+    VirtualNetwork net({.members = 5, .membership = {}, .seed = 7, .loss = 0.1});
     Watch watch(net);
     net.run_until(3600 * kPeriod);
     EXPECT_EQ(watch.deaths, 0);
 }
 
 TEST(Group, AKilledMemberIsFoundByAllAndAPlainRestartIsAnotherLife) {
-    VirtualNet net({.members = 8, .group = {}, .seed = 3});
+    VirtualNetwork net({.members = 8, .membership = {}, .seed = 3});
     net.run_until(5 * kPeriod);
     net.kill(4);
     net.run_until(40 * kPeriod);
@@ -193,21 +193,23 @@
         if (i != 4) {
             EXPECT_EQ(net.at(i).state_of("n4"), State::dead);
         }
-    EXPECT_EQ(net.at(0).size(), 8U);
-    EXPECT_EQ(net.at(0).reached(), 7U);
+    EXPECT_EQ(net.at(0).member_count(), 8U);
+    EXPECT_EQ(net.at(0).reachable_count(), 7U);
     net.start(4);
     EXPECT_TRUE(agree_within(net, 20));
-    for (const Seen& seen : net.at(0).seen())
-        if (seen.word.name == "n4") {
-            EXPECT_EQ(seen.word.stamp.start, 2U);
+    for (const MemberView& seen : net.at(0).members())
+        if (seen.record.name == "n4") {
+            EXPECT_EQ(seen.record.incarnation.start, 2U);
         }
 }
 
 TEST(Group, AfterAPauseOfItsOwnAMemberCallsNobodyDeadBeforeItHasAskedAnew) {
-    VirtualNet net({.members = 5, .group = {}, .seed = 4});
+    VirtualNetwork net({.members = 5, .membership = {}, .seed = 4});
     net.run_until(5 * kPeriod);
     int deaths = 0;
-    net.on_change = [&](int seer, const Change& change) { deaths += seer == 2 && change.to == State::dead; };
+    net.on_change = [&](int seer, const MemberChange& change) {
+        deaths += seer == 2 && change.to == State::dead;
+    };
     net.kill(0);
     net.run_until(8 * kPeriod);  // doubted by now
     net.pause(2);
@@ -215,7 +217,7 @@
     net.pause(2, false);
     net.run_until(net.now() + kPeriod);
     EXPECT_EQ(deaths, 0);
-    EXPECT_EQ(net.at(2).figures().pauses, 1U);
+    EXPECT_EQ(net.at(2).metrics().pauses, 1U);
     net.run_until(net.now() + 40 * kPeriod);
     EXPECT_EQ(net.at(2).state_of("n0"), State::dead);
     EXPECT_EQ(deaths, 1);
@@ -225,27 +227,27 @@
     for (const int cut_off : {2, 3}) {
         Options options;
         options.settle = 20 * kPeriod;
-        VirtualNet net({.members = 6, .group = options, .seed = 5});
+        VirtualNetwork net({.members = 6, .membership = options, .seed = 5});
         net.run_until(10 * kPeriod);
         for (int a = 0; a < cut_off; ++a)
             for (int b = cut_off; b < 6; ++b) net.cut(a, b), net.cut(b, a);
         net.run_until(100 * kPeriod);
-        EXPECT_EQ(net.at(0).side(), Side::minority);
-        EXPECT_EQ(net.at(5).side(), cut_off == 3 ? Side::minority : Side::majority);
+        EXPECT_EQ(net.at(0).side(), PartitionSide::minority);
+        EXPECT_EQ(net.at(5).side(), cut_off == 3 ? PartitionSide::minority : PartitionSide::majority);
         const auto sum = [](const std::map<std::string, int>& counts) {
             int all = 0;
             for (const auto& [zone, count] : counts) all += count;
             return all;
         };
-        EXPECT_EQ(sum(net.at(0).share().counts()), 6);
-        EXPECT_EQ(sum(net.at(5).share().counts()), cut_off == 3 ? 6 : 4);
+        EXPECT_EQ(sum(net.at(0).cluster_size().counts()), 6);
+        EXPECT_EQ(sum(net.at(5).cluster_size().counts()), cut_off == 3 ? 6 : 4);
         net.heal();
         EXPECT_TRUE(agree_within(net, 60));
     }
 }
 
 TEST(Group, ALeaveIsTakenFromTheMemberItselfAndIsNoDeath) {
-    VirtualNet net({.members = 5, .group = {}, .seed = 6});
+    VirtualNetwork net({.members = 5, .membership = {}, .seed = 6});
     Watch watch(net);
     net.run_until(3 * kPeriod);
     net.at(1).leave(net.now());
@@ -254,22 +256,22 @@
         if (i != 1) {
             EXPECT_EQ(net.at(i).state_of("n1"), State::left);
         }
-    EXPECT_EQ(net.at(0).size(), 4U);
+    EXPECT_EQ(net.at(0).member_count(), 4U);
     EXPECT_EQ(watch.deaths, 0);
 }
 
 TEST(Group, DatagramsStayWithinTheirSizeHoweverMuchThereIsToTell) {
-    VirtualNet net({.members = 60, .group = {}, .seed = 8, .formed = false});
+    VirtualNetwork net({.members = 60, .membership = {}, .seed = 8, .formed = false});
     std::size_t most = 0;
     net.on_send = [&](int, const Datagram& datagram) {
-        std::size_t size = kFrameRoom + datagram.from.size() + datagram.to.size() + datagram.about.size();
-        for (const Word& word : datagram.words) size += room_of(word);
-        for (const Doubt& doubt : datagram.doubts) size += room_of(doubt);
+        std::size_t size = kFrameRoom + datagram.from.size() + datagram.to.size() + datagram.subject.size();
+        for (const MemberRecord& word : datagram.records) size += max_encoded_size(word);
+        for (const Suspicion& doubt : datagram.suspicions) size += max_encoded_size(doubt);
         most = std::max(most, size);
     };
     EXPECT_TRUE(agree_within(net, 60));
-    EXPECT_LE(most, kMostDatagram);
-    EXPECT_GT(most, kMostDatagram / 2);  // some were full
+    EXPECT_LE(most, kMaxDatagramBytes);
+    EXPECT_GT(most, kMaxDatagramBytes / 2);  // some were full
 }
 
-}  // namespace sumackeel::group
+}  // namespace sumackeel::cluster
--- /dev/null
+++ b/tests/cluster_transport/message_codec_test.cpp
@@ -0,0 +1,192 @@
+// What comes off the wire and the disk is checked: each byte that differs is noticed, nothing of it is used.
+#include "cluster_transport/message_codec.h"
+
+#include <gtest/gtest.h>
+#include <stdlib.h>
+
+#include <filesystem>
+#include <fstream>
+#include <sstream>
+
+#include "cluster_transport/rate_limiter.h"
+#include "cluster_transport/start_number.h"
+#include "config/config.h"
+
+namespace sumackeel::cluster_transport {
+namespace {
+
+const Keys kKeys{{"0123456789abcdef"}};
+
+cluster::MemberRecord word(const std::string& name) {
+    return {.name = name,
+            .address = "127.0.0.1:9002",
+            .zone = "edge-1",
+            .software_version = "0.3.0",
+            .incarnation = {3, 7},
+            .instance_id = 0xfeedfacecafebeefULL,
+            .phase = cluster::Phase::alive};
+}
+
+SequencedDatagram numbered() {
+    return {.datagram = {.kind = cluster::MessageKind::ping_request,
+                         .from = "n1",
+                         .to = "n2",
+                         .number = 9,
+                         .subject = "n3",
+                         .records = {word("n1"), word("n4")},
+                         .suspicions = {{.suspector = "n1",
+                                         .subject = "n4",
+                                         .suspector_start = 3,
+                                         .incarnation = {3, 7},
+                                         .number = 2,
+                                         .active = true}}},
+            .start = 3,
+            .sequence = 77};
+}
+
+struct Scratch {
+    Scratch() {
+        std::string form = (std::filesystem::temp_directory_path() / "sumackeel-XXXXXX").string();
+        path = mkdtemp(form.data());
+    }
+    ~Scratch() { std::filesystem::remove_all(path); }
+    void write(const std::string& name, const std::string& text) const {
+        std::ofstream(path + '/' + name, std::ios::binary) << text;
+    }
+    std::string read(const std::string& name) const {
+        std::ifstream file(path + '/' + name, std::ios::binary);
+        std::stringstream text;
+        text << file.rdbuf();
+        return text.str();
+    }
+    std::string path;
+};
+
+}  // namespace
+
+TEST(PeersWire, ADatagramComesBackAsItWas) {
+    const MessageCodec codec("school", kKeys);
+    DecodeError bad{};
+    const auto back = codec.decode_datagram(codec.encode_datagram(numbered()), bad);
+    ASSERT_TRUE(back);
+    EXPECT_EQ(back->sequence, 77U);
+    EXPECT_EQ(back->start, 3U);
+    EXPECT_EQ(back->datagram.subject, "n3");
+    EXPECT_EQ(back->datagram.records, numbered().datagram.records);
+    EXPECT_EQ(back->datagram.suspicions, numbered().datagram.suspicions);
+}
+
+TEST(PeersWire, TheLargestThatIsSentFitsWhatIsRead) {
+    SequencedDatagram full = numbered();
+    const std::string name(cluster::kMaxNameLength, 'n');
+    full.datagram.from = full.datagram.to = full.datagram.subject = name;
+    full.datagram.records = {word(name)};
+    full.start = full.sequence = full.datagram.number = UINT64_MAX;
+    std::size_t used = cluster::kFrameRoom + 3 * name.size() + cluster::max_encoded_size(word(name));
+    for (cluster::MemberRecord next = word("n5");
+         used + cluster::max_encoded_size(next) <= cluster::kMaxDatagramBytes;) {
+        next.incarnation = {UINT64_MAX, UINT64_MAX}, next.instance_id = UINT64_MAX;
+        used += cluster::max_encoded_size(next);
+        full.datagram.records.push_back(next);
+    }
+    const MessageCodec codec(std::string(kMaxClusterNameLength, 'g'), kKeys);
+    EXPECT_LE(codec.encode_datagram(full).size(), cluster::kMaxDatagramBytes);
+}
+
+TEST(PeersWire, EachFlippedByteAndEachCutIsRefused) {
+    const MessageCodec codec("school", kKeys);
+    const std::string sound = codec.encode_datagram(numbered());
+    DecodeError bad{};
+    for (std::size_t at = 0; at < sound.size(); ++at) {
+        std::string flipped = sound;
+        flipped[at] = static_cast<char>(flipped[at] ^ 0x10);
+        EXPECT_FALSE(codec.decode_datagram(flipped, bad)) << at;
+        EXPECT_FALSE(codec.decode_datagram(sound.substr(0, at), bad)) << at;
+    }
+    EXPECT_FALSE(codec.decode_datagram(std::string(kMaxDatagramBytes + 1, 'S'), bad));
+    EXPECT_EQ(bad, DecodeError::oversized);
+}
+
+TEST(PeersWire, OtherKeysAndGroupsAreTurnedAwayAndAnOldKeyIsStillRead) {
+    const std::string bytes = MessageCodec("school", kKeys).encode_datagram(numbered());
+    DecodeError bad{};
+    EXPECT_FALSE(MessageCodec("school", {{"another key of ours"}}).decode_datagram(bytes, bad));
+    EXPECT_EQ(bad, DecodeError::wrong_mac);
+    EXPECT_FALSE(MessageCodec("other", kKeys).decode_datagram(bytes, bad));
+    EXPECT_EQ(bad, DecodeError::wrong_protocol);
+    EXPECT_TRUE(MessageCodec("school", {{"another key of ours", kKeys.all[0]}}).decode_datagram(bytes, bad));
+}
+
+TEST(PeersWire, AFrameComesBackAsItWasAndIsNoDatagram) {
+    const MessageCodec codec("school", kKeys);
+    ExchangeFrame frame{.step = ExchangeStep::state,
+                        .to = "n2",
+                        .digest = 5,
+                        .state = {.from = "n1",
+                                  .records = numbered().datagram.records,
+                                  .suspicions = numbered().datagram.suspicions}};
+    const std::string bytes = codec.encode_frame(frame);
+    DecodeError bad{};
+    const auto back = codec.decode_frame(std::string_view(bytes).substr(4), bad);
+    ASSERT_TRUE(back);
+    EXPECT_EQ(back->state.records, frame.state.records);
+    EXPECT_EQ(back->digest, 5U);
+    EXPECT_FALSE(codec.decode_datagram(std::string_view(bytes).substr(4), bad));
+}
+
+TEST(PeersSeen, EachNumberOfEachStartCountsOnceInAnyOrder) {
+    ReplayFilter seen;
+    EXPECT_TRUE(seen.accept("a", 1, 10));
+    EXPECT_FALSE(seen.accept("a", 1, 10));
+    EXPECT_TRUE(seen.accept("a", 1, 8));
+    EXPECT_FALSE(seen.accept("a", 1, 8));
+    EXPECT_TRUE(seen.accept("a", 1, 74));
+    EXPECT_FALSE(seen.accept("a", 1, 10));  // the furthest that is remembered
+    EXPECT_TRUE(seen.accept("a", 1, 11));
+    EXPECT_FALSE(seen.accept("a", 1, 9));  // too far behind to know
+    EXPECT_TRUE(seen.accept("a", 2, 1));
+    EXPECT_FALSE(seen.accept("a", 1, 200));
+    EXPECT_TRUE(seen.accept("b", 1, 10));
+}
+
+TEST(PeersMeter, SavesUpNoMoreThanASecond) {
+    RateLimiter meter(1000);
+    meter.spend(1500);
+    EXPECT_DOUBLE_EQ(meter.available(0), -500);
+    EXPECT_DOUBLE_EQ(meter.available(700'000), 200);
+    EXPECT_DOUBLE_EQ(meter.available(60'000'000), 1000);
+}
+
+TEST(PeersStartNumber, IsKeptAndADamagedFileIsSetAside) {
+    const Scratch scratch;
+    const StartNumber number(scratch.path + "/state");
+    std::string fault;
+    EXPECT_EQ(number.read(fault), 0U);
+    EXPECT_EQ(fault, "");
+    ASSERT_EQ(number.write(41), "");
+    EXPECT_EQ(number.read(fault), 41U);
+    const std::string sound = scratch.read("state/start");
+    for (std::size_t at = 0; at < sound.size(); ++at) {
+        std::string flipped = sound;
+        flipped[at] = static_cast<char>(flipped[at] ^ 1);
+        scratch.write("state/start", flipped);
+        EXPECT_EQ(number.read(fault), 0U) << at;
+        EXPECT_NE(fault, "") << at;
+        scratch.write("state/start", sound.substr(0, at));
+        EXPECT_EQ(number.read(fault), 0U) << at;
+    }
+    EXPECT_TRUE(std::filesystem::exists(scratch.path + "/state/start.bad"));
+}
+
+TEST(PeersKeys, AShortOrMissingKeyIsRefusedInPlainWords) {
+    const Scratch scratch;
+    EXPECT_THROW(load_keys(scratch.path + "/none"), config::ConfigError);
+    scratch.write("key", "short\n");
+    EXPECT_THROW(load_keys(scratch.path + "/key"), config::ConfigError);
+    scratch.write("key", "");
+    EXPECT_THROW(load_keys(scratch.path + "/key"), config::ConfigError);
+    scratch.write("key", "0123456789abcdef\n\nfedcba9876543210\n");
+    EXPECT_EQ(load_keys(scratch.path + "/key").all.size(), 2U);
+}
+
+}  // namespace sumackeel::cluster_transport
--- a/tests/compatibility/encoded_forms_test.cpp
+++ b/tests/compatibility/encoded_forms_test.cpp
@@ -11,18 +11,18 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "front_platform/thrift.h"
-#include "membership/saved.h"
-#include "ops/board.h"
-#include "peers/agreed_words.h"
-#include "peers/start_number.h"
-#include "peers/wire.h"
-#include "recovery/kept.h"
-#include "registry/registry.h"
+#include "admin/state.h"
+#include "cluster_transport/message_codec.h"
+#include "cluster_transport/start_number.h"
+#include "consensus/consensus_messages.h"
+#include "endpoints/snapshot_codec.h"
+#include "kv_store/kv_store.h"
+#include "platform_server/thrift_codec.h"
+#include "recovery/persisted_state.h"
 #include "rollout/rollout.h"
-#include "sim/wire.h"
-#include "store/old_store.h"
-#include "upstream/lines.h"
+#include "simulator_adapter/simulator_protocol.h"
+#include "store/legacy_store_import.h"
+#include "upstream/cache_protocol.h"
 
 namespace {
 
@@ -48,28 +48,33 @@
     return expected;
 }
 
-group::Word member_word(const std::string& name) {
+cluster::MemberRecord member_word(const std::string& name) {
     return {.name = name,
             .address = "127.0.0.1:9002",
             .zone = "edge-1",
-            .version = "0.3.0",
-            .stamp = {3, 7},
-            .life = 0xfeedfacecafebeefULL,
-            .phase = group::Phase::alive};
+            .software_version = "0.3.0",
+            .incarnation = {3, 7},
+            .instance_id = 0xfeedfacecafebeefULL,
+            .phase = cluster::Phase::alive};
 }
 
-group::Doubt doubt() {
-    return {.by = "n1", .about = "n4", .by_start = 3, .stamp = {3, 7}, .number = 2, .on = true};
+cluster::Suspicion doubt() {
+    return {.suspector = "n1",
+            .subject = "n4",
+            .suspector_start = 3,
+            .incarnation = {3, 7},
+            .number = 2,
+            .active = true};
 }
 
-peers::Codec codec() {
-    return {"school", peers::Keys{{"0123456789abcdef"}}};
+cluster_transport::MessageCodec codec() {
+    return {"school", cluster_transport::Keys{{"0123456789abcdef"}}};
 }
 
-core::Ask ask() {
-    core::Ask ask;
-    ask.id = "a-17", ask.service_name = "sheet", ask.object = "7f3a9c21e0b4d655", ask.part = 3,
-    ask.group = 17;
+core::Request ask() {
+    core::Request ask;
+    ask.id = "a-17", ask.class_name = "sheet", ask.object = "7f3a9c21e0b4d655", ask.part = 3,
+    ask.purge_group = 17;
     return ask;
 }
 
@@ -80,82 +85,96 @@
     return plan;
 }
 
-rollout::Seen member(const char* name, const char* school, double weight) {
-    rollout::Seen member;
-    member.name = name, member.school = school, member.leans_on = "coast", member.weight = weight;
+rollout::FleetMember member(const char* name, const char* school, double weight) {
+    rollout::FleetMember member;
+    member.name = name, member.zone = school, member.parent_region = "coast", member.weight = weight;
     return member;
 }
 
-rollout::Ask leave_of(const std::string& name, bool forced = false) {
-    rollout::Ask ask;
-    ask.kind = rollout::Kind::pop_cache, ask.member = name, ask.by = "n0", ask.forced = forced;
+rollout::LeaseRequest leave_of(const std::string& name, bool forced = false) {
+    rollout::LeaseRequest ask;
+    ask.kind = rollout::MemberKind::pop_cache, ask.member = name, ask.requested_by = "n0",
+    ask.forced = forced;
     ask.now = 1'700'000'000'000'000;
-    ask.rules = {.school_out = 2, .school_share = 1, .fleet_out = 3, .between = 5'000'000};
-    ask.world = {member("a1", "a", 8), member("a2", "a", 8), member("b1", "b", 4.5)};
-    ask.world[1].out = true, ask.world[1].why = "dead";
+    ask.budget = {.max_unavailable_in_zone = 2,
+                  .max_zone_weight_share = 1,
+                  .max_unavailable = 3,
+                  .min_interval_in_zone = 5'000'000};
+    ask.fleet = {member("a1", "a", 8), member("a2", "a", 8), member("b1", "b", 4.5)};
+    ask.fleet[1].unavailable = true, ask.fleet[1].unavailable_reason = "dead";
     return ask;
 }
 
-rollout::Order start_order() {
-    rollout::Order order;
-    order.verb = rollout::Verb::start, order.by = "n0", order.now = 1'700'000'000'100'000;
-    order.plan = plan(), order.there = {"n0", "n1", "n2"};
+rollout::ReleaseCommand start_order() {
+    rollout::ReleaseCommand order;
+    order.action = rollout::ReleaseAction::start, order.requested_by = "n0",
+    order.now = 1'700'000'000'100'000;
+    order.plan = plan(), order.live_members = {"n0", "n1", "n2"};
     return order;
 }
 
-rollout::Step step() {
-    rollout::Step step;
-    step.release = 1, step.behind = 0, step.to = rollout::Stage::soaking, step.wave = 0;
+rollout::ReleaseStep step() {
+    rollout::ReleaseStep step;
+    step.release = 1, step.expected_steps = 0, step.to = rollout::ReleaseStage::soaking, step.wave = 0;
     step.now = 1'700'000'000'200'000, step.reason = "the wave is changed";
-    step.base = rollout::Sum{
-        .requests = 500, .in_time = 490, .refused = 3, .failed = 1, .own_us = 9'000, .sent = 450};
+    step.baseline = rollout::MetricsSum{.requests = 500,
+                                        .in_time = 490,
+                                        .rejected = 3,
+                                        .failed = 1,
+                                        .dispatch_time_us = 9'000,
+                                        .dispatched = 450};
     return step;
 }
 
-registry::Change change() {
-    registry::Part set, guarded, leased;
+kv_store::Transaction change() {
+    kv_store::Operation set, guarded, leased;
     set.key = "revoked/j-17", set.value = "yes";
-    guarded.key = "key/k", guarded.value = "off", guarded.expected = 0;
-    leased.key = "fleet/note", leased.value = "soon over", leased.lasts = 2'000'000;
+    guarded.key = "key/k", guarded.value = "off", guarded.expected_version = 0;
+    leased.key = "fleet/note", leased.value = "soon over", leased.time_to_live = 2'000'000;
     return {{set, guarded, leased}, "n1", 1'700'000'000'000'000};
 }
 
-registry::Purge purge() {
-    registry::Purge purge;
-    purge.group = 17, purge.by = "n2", purge.at = 1'700'000'000'500'000;
+kv_store::Purge purge() {
+    kv_store::Purge purge;
+    purge.purge_group = 17, purge.by = "n2", purge.at = 1'700'000'000'500'000;
     return purge;
 }
 
 }  // namespace
 
 TEST(EncodedForms, PlatformAnswers) {
-    using core::Answered;
+    using core::ResponseStatus;
     std::string bytes;
-    bytes += front_platform::write_answer(1, {.how = Answered::served, .body = "the sheet", .tag = "e1"});
-    bytes += front_platform::write_answer(2, {.how = Answered::same, .body = "not sent", .tag = "e1"});
-    bytes += front_platform::write_answer(3, {.how = Answered::refused, .come_back = 1'500'100});
-    bytes += front_platform::write_answer(4, {.how = Answered::refused});
-    bytes += front_platform::write_answer(5, {.how = Answered::failed});
-    bytes += front_platform::write_answer(6, {.how = Answered::out_of_time});
-    bytes += front_platform::write_alive(7, true) + front_platform::write_alive(8, false);
-    bytes += front_platform::write_unknown("resign", 9);
+    bytes += platform_server::encode_response(
+        1, {.status = ResponseStatus::served, .body = "the sheet", .etag = "e1"});
+    bytes += platform_server::encode_response(
+        2, {.status = ResponseStatus::not_modified, .body = "not sent", .etag = "e1"});
+    bytes +=
+        platform_server::encode_response(3, {.status = ResponseStatus::rejected, .retry_after = 1'500'100});
+    bytes += platform_server::encode_response(4, {.status = ResponseStatus::rejected});
+    bytes += platform_server::encode_response(5, {.status = ResponseStatus::failed});
+    bytes += platform_server::encode_response(6, {.status = ResponseStatus::deadline_exceeded});
+    bytes += platform_server::encode_alive(7, true) + platform_server::encode_alive(8, false);
+    bytes += platform_server::encode_unknown_method("resign", 9);
     recorded("platform_answers.bin", bytes);
 }
 
 TEST(EncodedForms, CacheRequests) {
-    const core::Ask plain = ask();
-    core::Ask with_body = ask();
-    with_body.idempotency_key = "k17", with_body.have = "e1", with_body.body = "four";
-    core::Ask without_object;
-    without_object.id = "e-1", without_object.service_name = "enrol";
-    core::Sending first, all, bare;
-    first.until = 3'000'000, first.ask = &plain;
-    all.source = "s-parent", all.until = 3'000'999, all.age = 1'999, all.rank = 2, all.ask = &with_body;
-    all.join = all.source_holds = all.parent_skips = all.renew = true;
-    bare.source = "s-origin", bare.until = 3'000'000, bare.ask = &without_object;
+    const core::Request plain = ask();
+    core::Request with_body = ask();
+    with_body.idempotency_key = "k17", with_body.client_etag = "e1", with_body.body = "four";
+    core::Request without_object;
+    without_object.id = "e-1", without_object.class_name = "enrol";
+    core::AttemptRequest first, all, bare;
+    first.deadline = 3'000'000, first.request = &plain;
+    all.source = "s-parent", all.deadline = 3'000'999, all.max_age = 1'999, all.cache_priority = 2,
+    all.request = &with_body;
+    all.coalesce = all.source_cached_only = all.parent_bypasses_cache = all.revalidate = true;
+    bare.source = "s-origin", bare.deadline = 3'000'000, bare.request = &without_object;
     std::string bytes;
-    for (const core::Sending* one : {&first, &all, &bare}) bytes += upstream::RequestText(*one).at(500'400);
-    bytes += upstream::RequestText(first).at(2'999'999) + upstream::write_stop("a-17");
+    for (const core::AttemptRequest* one : {&first, &all, &bare})
+        bytes += upstream::RequestEncoder(*one).encode_at(500'400);
+    bytes += upstream::RequestEncoder(first).encode_at(2'999'999) + upstream::encode_cancel("a-17");
     recorded("cache_requests.txt", bytes);
 }
 
@@ -167,73 +186,79 @@
                              "not_there", "no_place", "far_fault", "unheard_of"})
         in += std::string("n DONE tell=") + note + ",first=12.5,digest=e7,dated=1764576000123 4\r\nbody\r\n";
     in += "m DONE meter=inflight:7;x1:0.75,tell=local 0\r\n\r\nm DONE meter=outstanding:3 0\r\n\r\n";
-    upstream::AnswerReader reader;
-    reader.add(in);
+    upstream::ResponseReader reader;
+    reader.append(in);
     std::string read;
-    upstream::Answer answer;
+    upstream::CacheResponse answer;
     while (reader.next(answer)) {
-        const core::Ending& end = answer.ending;
+        const core::AttemptResult& end = answer.result;
         std::stringstream line;
-        line << answer.id << ' ' << static_cast<int>(end.verdict) << ' ' << static_cast<int>(end.note) << ' '
-             << end.first_byte << ' ' << end.load.held << ' ' << end.load.link << ' ' << end.same << ' '
-             << end.body << ' ' << end.tag << ' ' << end.dated_ms << '\n';
+        line << answer.id << ' ' << static_cast<int>(end.status) << ' ' << static_cast<int>(end.cache_status)
+             << ' ' << end.time_to_first_byte << ' ' << end.load.in_flight << ' '
+             << end.load.ingress_utilization << ' ' << end.not_modified << ' ' << end.body << ' ' << end.etag
+             << ' ' << end.origin_date_ms << '\n';
         read += line.str();
     }
     recorded("cache_answers_read.txt", read);
 }
 
 TEST(EncodedForms, GossipDatagramsAndFrames) {
-    peers::Numbered ask{.datagram = {.kind = group::Kind::ask,
-                                     .from = "n1",
-                                     .to = "n2",
-                                     .number = 9,
-                                     .about = "n3",
-                                     .words = {member_word("n1"), member_word("n4")},
-                                     .doubts = {doubt()}},
-                        .start = 3,
-                        .sequence = 77};
-    peers::Numbered tell{
-        .datagram = {.from = "n1", .to = "n2", .words = {member_word("n1")}}, .start = 3, .sequence = 78};
-    peers::Bad bad{};
+    cluster_transport::SequencedDatagram ask{.datagram = {.kind = cluster::MessageKind::ping_request,
+                                                          .from = "n1",
+                                                          .to = "n2",
+                                                          .number = 9,
+                                                          .subject = "n3",
+                                                          .records = {member_word("n1"), member_word("n4")},
+                                                          .suspicions = {doubt()}},
+                                             .start = 3,
+                                             .sequence = 77};
+    cluster_transport::SequencedDatagram tell{
+        .datagram = {.from = "n1", .to = "n2", .records = {member_word("n1")}}, .start = 3, .sequence = 78};
+    cluster_transport::DecodeError bad{};
     for (const auto& [name, numbered] :
          {std::pair{"gossip_ask.bin", ask}, std::pair{"gossip_tell.bin", tell}}) {
-        const auto read = codec().read_datagram(recorded(name, codec().datagram(numbered)), bad);
+        const auto read = codec().decode_datagram(recorded(name, codec().encode_datagram(numbered)), bad);
         ASSERT_TRUE(read);
-        EXPECT_EQ(codec().datagram(*read), codec().datagram(numbered));
+        EXPECT_EQ(codec().encode_datagram(*read), codec().encode_datagram(numbered));
     }
-    const peers::Frame state{.step = peers::Step::state,
-                             .to = "n2",
-                             .digest = 0x1122334455667788,
-                             .whole = {"n1", {member_word("n1"), member_word("n2")}, {doubt()}}};
-    const std::string bytes = recorded("gossip_state.bin", codec().frame(state));
-    const auto read = codec().read_frame(std::string_view(bytes).substr(4), bad);
+    const cluster_transport::ExchangeFrame state{
+        .step = cluster_transport::ExchangeStep::state,
+        .to = "n2",
+        .digest = 0x1122334455667788,
+        .state = {"n1", {member_word("n1"), member_word("n2")}, {doubt()}}};
+    const std::string bytes = recorded("gossip_state.bin", codec().encode_frame(state));
+    const auto read = codec().decode_frame(std::string_view(bytes).substr(4), bad);
     ASSERT_TRUE(read);
-    EXPECT_EQ(codec().frame(*read), bytes);
-    const peers::Call call{
-        .from = "n1", .to = "n2", .start = 3, .sequence = 5, .verb = "has", .body = "1 2 3"};
-    const std::string called = recorded("member_call.bin", codec().call(call));
-    const auto again = codec().read_call(std::string_view(called).substr(4), bad);
+    EXPECT_EQ(codec().encode_frame(*read), bytes);
+    const cluster_transport::CallFrame call{
+        .from = "n1", .to = "n2", .start = 3, .sequence = 5, .method = "has", .body = "1 2 3"};
+    const std::string called = recorded("member_call.bin", codec().encode_call(call));
+    const auto again = codec().decode_call(std::string_view(called).substr(4), bad);
     ASSERT_TRUE(again);
-    EXPECT_EQ(codec().call(*again), called);
+    EXPECT_EQ(codec().encode_call(*again), called);
 }
 
 TEST(EncodedForms, ConsensusMessages) {
-    const peers::Said said{.done = true, .leader = "n2", .body = "body", .history = 4, .registry = "news"};
-    EXPECT_EQ(encode(peers::said_in(recorded("consensus_reply.bin", encode(said)))), encode(said));
-    peers::Wanted wanted;
-    wanted.what = peers::What::order, wanted.forced = true, wanted.kind = rollout::Kind::pop_cache;
+    const consensus::ConsensusReply said{
+        .done = true, .leader = "n2", .body = "body", .history = 4, .kv_store_update = "news"};
+    EXPECT_EQ(encode(consensus::decode_reply(recorded("consensus_reply.bin", encode(said)))), encode(said));
+    consensus::ConsensusRequest wanted;
+    wanted.kind = consensus::RequestKind::release_command, wanted.forced = true,
+    wanted.member_kind = rollout::MemberKind::pop_cache;
     wanted.member = "a1", wanted.by = "n0";
-    wanted.body = encode(start_order()), wanted.runs = {5, "0.3.0"};
-    EXPECT_EQ(peers::Wanted::read(recorded("consensus_request.bin", wanted.encode())).encode(),
-              wanted.encode());
+    wanted.body = encode(start_order()), wanted.running = {5, "0.3.0"};
+    EXPECT_EQ(
+        consensus::ConsensusRequest::decode(recorded("consensus_request.bin", wanted.encode())).encode(),
+        wanted.encode());
 }
 
 TEST(EncodedForms, RolloutCommandsAndState) {
-    const rollout::Back back{rollout::Kind::pop_cache, "a1", "n0", 1'700'000'000'300'000};
-    rollout::Report report;
+    const rollout::LeaseReturn back{rollout::MemberKind::pop_cache, "a1", "n0", 1'700'000'000'300'000};
+    rollout::MemberReport report;
     report.member = "n1", report.version = "0.3.0", report.start = 5;
-    report.tally.served = 9, report.tally.took[3] = 7, report.tally.memory_kb = 40'000;
-    EXPECT_EQ(encode(rollout::report_in(recorded("rollout_report.bin", encode(report)))), encode(report));
+    report.metrics.served = 9, report.metrics.latency_histogram[3] = 7, report.metrics.memory_kb = 40'000;
+    EXPECT_EQ(encode(rollout::decode_member_report(recorded("rollout_report.bin", encode(report)))),
+              encode(report));
     const std::string commands[] = {recorded("rollout_leave.bin", encode(leave_of("a1"))),
                                     recorded("rollout_start.bin", encode(start_order())),
                                     recorded("rollout_step.bin", encode(step())),
@@ -249,72 +274,77 @@
 }
 
 TEST(EncodedForms, KeyValueCommandsAndState) {
-    const registry::Tick tick{1'700'000'002'500'000};
+    const kv_store::ExpireKeys tick{1'700'000'002'500'000};
     const std::string commands[] = {recorded("registry_change.bin", encode(change())),
                                     recorded("registry_purge.bin", encode(purge())),
                                     recorded("registry_tick.bin", encode(tick))};
-    registry::State state;
+    kv_store::State state;
     for (const std::string& command : commands) {
-        EXPECT_TRUE(registry::is_command(command));
-        EXPECT_TRUE(registry::apply(state, command).done);
+        EXPECT_TRUE(kv_store::is_command(command));
+        EXPECT_TRUE(kv_store::apply(state, command).applied);
     }
-    recorded("registry_stamped.bin", registry::stamped(commands[0], 1'700'000'001'000'000));
+    recorded("registry_stamped.bin", kv_store::with_leader_time(commands[0], 1'700'000'001'000'000));
     const std::string snapshot = recorded("registry_state.bin", state.encode());
-    EXPECT_EQ(registry::State::decode(snapshot), state);
-    EXPECT_EQ(registry::State::decode(snapshot).encode(), snapshot);
-    registry::State behind;
-    const std::string news = recorded("registry_news.bin", state.news(0));
-    EXPECT_TRUE(behind.take(news));
+    EXPECT_EQ(kv_store::State::decode(snapshot), state);
+    EXPECT_EQ(kv_store::State::decode(snapshot).encode(), snapshot);
+    kv_store::State behind;
+    const std::string news = recorded("registry_news.bin", state.update_since(0));
+    EXPECT_TRUE(behind.apply_update(news));
     EXPECT_EQ(behind, state);
-    EXPECT_EQ(registry::newest_in(news), state.revision());
-    recorded("registry_news_since_1.bin", state.news(1));
+    EXPECT_EQ(kv_store::revision_of_update(news), state.revision());
+    recorded("registry_news_since_1.bin", state.update_since(1));
 }
 
 TEST(EncodedForms, EndpointSnapshot) {
-    const membership::Names names{{"coast", "edge-1"}, {"small", "parent", "origin"}};
-    membership::Snapshot list;
-    list.site = "school", list.taken_at = {1'700'000'000'000'000}, list.sure_age = 1'000'000;
-    list.last_seq = 41, list.whole_at = 7, list.forgotten_to = 3;
+    const endpoints::NameTables names{{"coast", "edge-1"}, {"small", "parent", "origin"}};
+    endpoints::Snapshot list;
+    list.site = "school", list.taken_at = {1'700'000'000'000'000}, list.confirmed_age = 1'000'000;
+    list.last_sequence = 41, list.full_list_sequence = 7, list.forgotten_through = 3;
     for (int i = 0; i < 3; ++i) {
-        membership::Word word;
-        word.seq = 7 + i;
-        word.placed.address = "10.0.0." + std::to_string(i) + ":9090";
-        word.placed.entry = {
-            .cache = "s-" + std::to_string(i), .weight = 4.5, .zone = 1, .since = i, .kind = i, .cell = i};
-        word.placed.entry.state = static_cast<nettlethread::CacheState>(i);
-        list.members.push_back({std::make_shared<const membership::Word>(word), i % 2 ? -1 : 1000});
+        endpoints::EndpointRecord word;
+        word.sequence = 7 + i;
+        word.located.address = "10.0.0." + std::to_string(i) + ":9090";
+        word.located.endpoint = {.name = "s-" + std::to_string(i),
+                                 .weight = 4.5,
+                                 .zone = 1,
+                                 .started_at = i,
+                                 .kind = i,
+                                 .cell = i};
+        word.located.endpoint.state = static_cast<routing::EndpointState>(i);
+        list.endpoints.push_back(
+            {std::make_shared<const endpoints::EndpointRecord>(word), i % 2 ? -1 : 1000});
     }
     list.purges = {{"7f3a9c21e0b4d655", 0, 1'699'999'999'000'000}, {"", 17, 1'699'999'998'000'000}};
     const std::string bytes = recorded("endpoints.sumlist", encode(list, names));
-    const membership::Decoded read = decode(bytes, names);
-    ASSERT_FALSE(read.fault) << read.fault->text;
-    EXPECT_EQ(encode(read.list, names), bytes);
+    const endpoints::DecodedSnapshot read = decode(bytes, names);
+    ASSERT_FALSE(read.error) << read.error->text;
+    EXPECT_EQ(encode(read.snapshot, names), bytes);
 }
 
 TEST(EncodedForms, RecoveryState) {
-    recovery::Kept kept;
-    kept.stage = recovery::Stage::priming, kept.members = {"n0", "n1", "n2"}, kept.drain = true;
+    recovery::PersistedState kept;
+    kept.phase = recovery::Phase::priming, kept.members = {"n0", "n1", "n2"}, kept.draining = true;
     kept.bans = {"s-a"}, kept.leased = {"s-b", "s-c"};
     const std::string bytes = recorded("recovery.sumkept", encode(kept));
-    recovery::Kept read;
+    recovery::PersistedState read;
     EXPECT_EQ(decode(bytes, read), "");
     EXPECT_EQ(read, kept);
 }
 
 TEST(EncodedForms, AdminStateHandOver) {
-    ops::Board board;
-    board.able();
-    board.ban("s-a", true), board.ban("s-b.example", true), board.drain_start();
-    const std::string bytes = recorded("hand_over.txt", board.hand_over());
-    const ops::Read read = ops::read_hand_over(bytes);
-    ASSERT_TRUE(read.board) << read.fault;
-    EXPECT_EQ(read.board->hand_over(), bytes);
+    admin::State board;
+    board.on_started();
+    board.ban("s-a", true), board.ban("s-b.example", true), board.start_drain();
+    const std::string bytes = recorded("hand_over.txt", board.encode());
+    const admin::DecodedState read = admin::decode_state(bytes);
+    ASSERT_TRUE(read.state) << read.error;
+    EXPECT_EQ(read.state->encode(), bytes);
 }
 
 TEST(EncodedForms, StartNumber) {
     std::string folder = (std::filesystem::temp_directory_path() / "sumackeel-XXXXXX").string();
     ASSERT_TRUE(mkdtemp(folder.data()));
-    const peers::StartNumber number(folder);
+    const cluster_transport::StartNumber number(folder);
     EXPECT_EQ(number.write(71), "");
     recorded("start_number.txt", file_bytes(folder + "/start"));
     std::filesystem::copy_file(data_file("start_number.txt"), folder + "/start",
@@ -328,8 +358,8 @@
 // Written by a version before 0.3.0: a snapshot, records behind it, who led last.
 TEST(EncodedForms, LegacyStore) {
     const std::string folder = data_file("legacy_store");
-    ASSERT_TRUE(store::has_old_store(folder));
-    const store::OldStore old = store::read_old_store(folder);
+    ASSERT_TRUE(store::has_legacy_store(folder));
+    const store::LegacyStore old = store::read_legacy_store(folder);
     EXPECT_EQ(old.leader, "n1");
     EXPECT_EQ(old.records, 2u);
     const std::map<std::string, std::string> expected{
@@ -338,34 +368,34 @@
 }
 
 TEST(EncodedForms, SimulatorActions) {
-    using namespace nettlethread;
-    const Action actions[] = {LookUp{"r1", "c1", 5'000},
-                              Serve{.id = "r1",
-                                    .timeout = 9,
-                                    .cache = "c1",
-                                    .age = 4,
-                                    .join = true,
-                                    .renew = true,
-                                    .source = "p0",
-                                    .rank = 2},
-                              Serve{.id = "r2",
-                                    .timeout = 9,
-                                    .cache = "c1",
-                                    .source_holds = true,
-                                    .parent_skips = true,
-                                    .source = "c1"},
+    using namespace sumackeel::routing;
+    const Action actions[] = {Lookup{"r1", "c1", 5'000},
+                              Forward{.id = "r1",
+                                      .timeout = 9,
+                                      .endpoint = "c1",
+                                      .max_age = 4,
+                                      .coalesce = true,
+                                      .revalidate = true,
+                                      .source = "p0",
+                                      .cache_priority = 2},
+                              Forward{.id = "r2",
+                                      .timeout = 9,
+                                      .endpoint = "c1",
+                                      .source_cached_only = true,
+                                      .parent_bypasses_cache = true,
+                                      .source = "c1"},
                               SetTimer{77, 1ULL << 62},
-                              Refuse{"r1", 1'500},
+                              Reject{"r1", 1'500},
                               Fail{"r1"},
                               Cancel{"r1", 1},
-                              TellPeer{-1, "\x01\xff"},
-                              TellPeer{3, ""},
-                              WatchList{true},
-                              FetchList{},
-                              Probe{"c1"},
-                              CloseIdle{"c1"},
-                              Log{"text"}};
+                              SendGossip{-1, "\x01\xff"},
+                              SendGossip{3, ""},
+                              WatchEndpoints{true},
+                              PollEndpoints{},
+                              SendHealthCheck{"c1"},
+                              CloseIdleConnections{"c1"},
+                              LogMessage{"text"}};
     std::string lines;
-    for (const Action& action : actions) lines += wire::write_action(action).dump() + "\n";
+    for (const Action& action : actions) lines += simulator_adapter::write_action(action).dump() + "\n";
     recorded("simulator_actions.txt", lines);
 }
