--- a/tests/compatibility/routing_replay_test.cpp
+++ b/tests/compatibility/routing_replay_test.cpp
@@ -11,12 +11,12 @@
 #include <string>
 #include <variant>
 
-#include "emulator/fleet.h"
-#include "nettlethread/router.h"
+#include "emulator/fleet_emulator.h"
+#include "routing/router.h"
 
 namespace {
 
-using namespace nettlethread;
+using namespace sumackeel::routing;
 namespace emulator = sumackeel::emulator;
 
 // FNV-1a, 64 bits.
@@ -36,26 +36,28 @@
 // One overload an action; each begins with a letter of its own.
 struct AddAction {
     Digest& digest;
-    void operator()(const LookUp& a) const {
-        digest.add("L"), digest.add(a.id), digest.add(a.cache), digest.add(a.timeout);
+    void operator()(const Lookup& a) const {
+        digest.add("L"), digest.add(a.id), digest.add(a.endpoint), digest.add(a.timeout);
     }
-    void operator()(const Serve& a) const {
-        digest.add("S"), digest.add(a.id), digest.add(a.timeout), digest.add(a.cache), digest.add(a.age);
-        digest.add(a.join), digest.add(a.source_holds), digest.add(a.parent_skips), digest.add(a.renew);
-        digest.add(a.source), digest.add(a.rank);
+    void operator()(const Forward& a) const {
+        digest.add("S"), digest.add(a.id), digest.add(a.timeout), digest.add(a.endpoint),
+            digest.add(a.max_age);
+        digest.add(a.coalesce), digest.add(a.source_cached_only), digest.add(a.parent_bypasses_cache),
+            digest.add(a.revalidate);
+        digest.add(a.source), digest.add(a.cache_priority);
     }
     void operator()(const SetTimer& a) const {
         digest.add("T"), digest.add(a.at), digest.add(static_cast<std::int64_t>(a.token));
     }
-    void operator()(const Refuse& a) const { digest.add("R"), digest.add(a.id), digest.add(a.come_back); }
+    void operator()(const Reject& a) const { digest.add("R"), digest.add(a.id), digest.add(a.retry_after); }
     void operator()(const Fail& a) const { digest.add("F"), digest.add(a.id); }
     void operator()(const Cancel& a) const { digest.add("C"), digest.add(a.id), digest.add(a.attempt); }
-    void operator()(const TellPeer& a) const { digest.add("P"), digest.add(a.to), digest.add(a.bytes); }
-    void operator()(const WatchList& a) const { digest.add("W"), digest.add(a.on); }
-    void operator()(const FetchList&) const { digest.add("G"); }
-    void operator()(const Probe& a) const { digest.add("B"), digest.add(a.cache); }
-    void operator()(const CloseIdle& a) const { digest.add("I"), digest.add(a.cache); }
-    void operator()(const Log&) const {}
+    void operator()(const SendGossip& a) const { digest.add("P"), digest.add(a.to), digest.add(a.bytes); }
+    void operator()(const WatchEndpoints& a) const { digest.add("W"), digest.add(a.enabled); }
+    void operator()(const PollEndpoints&) const { digest.add("G"); }
+    void operator()(const SendHealthCheck& a) const { digest.add("B"), digest.add(a.endpoint); }
+    void operator()(const CloseIdleConnections& a) const { digest.add("I"), digest.add(a.endpoint); }
+    void operator()(const LogMessage&) const {}
 };
 
 struct Replay {
@@ -81,14 +83,14 @@
     EXPECT_EQ(replay.digest.value(), expected) << name << ": " << replay.actions << " actions";
 }
 
-emulator::Shape small(std::uint64_t seed, double asks_per_s) {
-    emulator::Shape shape;
+emulator::FleetOptions small(std::uint64_t seed, double asks_per_s) {
+    emulator::FleetOptions shape;
     shape.routers = 20, shape.zones = 5, shape.asks_per_s = asks_per_s, shape.objects = 1'500,
     shape.seed = seed;
     return shape;
 }
 
-void record(emulator::Fleet& fleet, Replay& replay) {
+void record(emulator::FleetEmulator& fleet, Replay& replay) {
     fleet.observe = [&replay](std::size_t router, Micros now, const std::vector<Action>& taken) {
         replay.digest.add(static_cast<std::int64_t>(router));
         replay.add(now, taken);
@@ -97,28 +99,30 @@
 
 // Settings that differ in all that the module branches on, by the number of the stream.
 Settings settings_of(int stream) {
-    emulator::Shape shape;
+    emulator::FleetOptions shape;
     shape.routers = 12, shape.zones = 3;
     Settings s = emulator::settings(shape);
     constexpr Micros kMs = 1'000;
     ClassSettings keyed = s.classes[0], effect = s.classes[0], aging = s.classes[0];
-    keyed.semantics = Semantics::keyed, keyed.window = 900 * kMs;
-    keyed.scope = stream % 3 == 0 ? Scope::all : stream % 3 == 1 ? Scope::zone : Scope::cell;
-    effect.semantics = Semantics::unsafe, effect.uncached = true;
-    aging.fresh = 700 * kMs, aging.grace = 2'000 * kMs, aging.stale_worth = 0.5;
+    keyed.retry_safety = RetrySafety::with_idempotency_key, keyed.idempotency_window = 900 * kMs;
+    keyed.idempotency_scope = stream % 3 == 0   ? IdempotencyScope::all
+                              : stream % 3 == 1 ? IdempotencyScope::zone
+                                                : IdempotencyScope::cell;
+    effect.retry_safety = RetrySafety::not_idempotent, effect.uncacheable = true;
+    aging.freshness_lifetime = 700 * kMs, aging.stale_grace = 2'000 * kMs, aging.stale_value = 0.5;
     s.classes.insert(s.classes.end(), {keyed, effect, aging});
-    s.zone_hub = {0, 1, 2};
-    s.my_zone = stream % 2;
-    s.joins = stream % 4 != 1;
-    s.direct = stream % 2 == 0;
-    s.neighbours = stream % 3 == 2 ? Neighbours::own_zone : Neighbours::none;
-    s.notes = stream % 5 == 4 ? Notes::none : Notes::all;
-    s.inlet_kb_per_s = {30'000, 20'000, 40'000};
-    s.ask_for_list = stream % 2 == 1;
-    s.retry_advice = stream % 2 == 0, s.longest_advice = 800 * kMs;
-    s.origin_alone_per_s = stream % 3 == 0 ? 3 : 0;
-    s.most_tries = 2 + stream % 5;
-    s.may_cancel = stream % 3 != 0;
+    s.region_by_zone = {0, 1, 2};
+    s.own_zone = stream % 2;
+    s.coalescing_allowed = stream % 4 != 1;
+    s.cache_bypass_allowed = stream % 2 == 0;
+    s.sibling_fill = stream % 3 == 2 ? SiblingFill::own_zone : SiblingFill::none;
+    s.cache_status_detail = stream % 5 == 4 ? CacheStatusDetail::none : CacheStatusDetail::all;
+    s.ingress_kb_per_s_by_zone = {30'000, 20'000, 40'000};
+    s.endpoints_on_request = stream % 2 == 1;
+    s.retry_after_allowed = stream % 2 == 0, s.max_retry_after = 800 * kMs;
+    s.origin_only_requests_per_s = stream % 3 == 0 ? 3 : 0;
+    s.max_attempts = 2 + stream % 5;
+    s.cancellation_allowed = stream % 3 != 0;
     return s;
 }
 
@@ -129,7 +133,7 @@
         : settings_(settings_of(stream)),
           chance_(static_cast<std::uint64_t>(stream) + 77),
           router_(settings_, chance_()) {
-        list(ListKind::full);
+        list(EndpointUpdateKind::full);
     }
 
     void run(int events) {
@@ -154,8 +158,8 @@
         router_.handle(now_, event, taken);
         replay.add(now_, taken);
         for (const Action& action : taken) {
-            if (const auto* serve = std::get_if<Serve>(&action)) sent(serve->id, serve->cache);
-            if (const auto* look_up = std::get_if<LookUp>(&action)) sent(look_up->id, look_up->cache);
+            if (const auto* serve = std::get_if<Forward>(&action)) sent(serve->id, serve->endpoint);
+            if (const auto* look_up = std::get_if<Lookup>(&action)) sent(look_up->id, look_up->endpoint);
             if (const auto* timer = std::get_if<SetTimer>(&action))
                 timers_.emplace_back(timer->at, timer->token);
         }
@@ -169,33 +173,34 @@
             if (timers_[i].first <= now_) {
                 const std::uint64_t token = timers_[i].second;
                 timers_.erase(timers_.begin() + static_cast<std::ptrdiff_t>(i));
-                return handle(TimerDue{token});
+                return handle(TimerExpired{token});
             }
         const std::uint64_t what = below(1'000);
         if (what < 430 || out_.empty()) return arrive();
         if (what < 900) return end();
-        if (what < 920) return handle(ClientLeft{out_[below(out_.size())].id});
+        if (what < 920) return handle(ClientCancelled{out_[below(out_.size())].id});
         if (what < 935) return purge();
-        if (what < 950) return list(below(4) == 0 ? ListKind::full : ListKind::changes);
-        if (what < 955) return list(ListKind::failed);
+        if (what < 950)
+            return list(below(4) == 0 ? EndpointUpdateKind::full : EndpointUpdateKind::incremental);
+        if (what < 955) return list(EndpointUpdateKind::failed);
         if (what < 965)
-            return handle(StreamStarted{out_.front().id, out_.front().cache, out_.front().attempt, 1'000});
+            return handle(ResponseStarted{out_.front().id, out_.front().cache, out_.front().attempt, 1'000});
         if (what < 980) return report();
-        if (what < 990) return handle(Stalled{static_cast<Micros>(below(400'000))});
-        handle(GroupNews{static_cast<int>(6 + below(12)), {4, 3, static_cast<int>(1 + below(5))}});
+        if (what < 990) return handle(ProcessStalled{static_cast<Micros>(below(400'000))});
+        handle(ClusterSizeChanged{static_cast<int>(6 + below(12)), {4, 3, static_cast<int>(1 + below(5))}});
     }
 
     void arrive() {
-        Arrival arrival;
+        RequestReceived arrival;
         arrival.id = "r" + std::to_string(next_++);
-        arrival.service = static_cast<int>(below(settings_.classes.size()));
+        arrival.class_index = static_cast<int>(below(settings_.classes.size()));
         if (below(20) != 0) arrival.object = "o" + std::to_string(below(below(2) == 0 ? 6 : 60));
-        arrival.grace = static_cast<Micros>(200'000 + below(2'800'000));
-        if (below(10) == 0) arrival.ends_in = static_cast<Micros>(below(900'000));
+        arrival.time_left = static_cast<Micros>(200'000 + below(2'800'000));
+        if (below(10) == 0) arrival.shutdown_in = static_cast<Micros>(below(900'000));
         arrival.size_kb = below(5) == 0 ? 0 : static_cast<double>(20 + below(900));
-        arrival.group = static_cast<int>(below(5));
+        arrival.purge_group = static_cast<int>(below(5));
         arrival.part = static_cast<int>(below(3));
-        arrival.write = arrival.service == 2;
+        arrival.write = arrival.class_index == 2;
         handle(arrival);
     }
 
@@ -203,13 +208,13 @@
         const std::size_t place = below(out_.size());
         const Out out = out_[place];
         out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(place));
-        Outcome outcome;
-        outcome.id = out.id, outcome.cache = out.cache, outcome.attempt = out.attempt;
-        outcome.took = now_ - out.sent;
-        outcome.verdict = below(4) != 0 ? Verdict::served : static_cast<Verdict>(below(9));
-        outcome.ended = outcome.verdict == Verdict::served;
-        outcome.note = static_cast<Note>(below(11));
-        outcome.first_byte = static_cast<Micros>(below(300'000));
+        AttemptFinished outcome;
+        outcome.id = out.id, outcome.endpoint = out.cache, outcome.attempt = out.attempt;
+        outcome.elapsed = now_ - out.sent;
+        outcome.status = below(4) != 0 ? AttemptStatus::served : static_cast<AttemptStatus>(below(9));
+        outcome.request_finished = outcome.status == AttemptStatus::served;
+        outcome.cache_status = static_cast<CacheStatus>(below(11));
+        outcome.time_to_first_byte = static_cast<Micros>(below(300'000));
         if (below(3) == 0)
             outcome.load = {static_cast<double>(below(12)), static_cast<double>(below(30)) / 10};
         handle(outcome);
@@ -221,24 +226,25 @@
     }
 
     void report() {
-        handle(ProbeAnswer{"c" + std::to_string(below(3)) + "-" + std::to_string(below(4)),
-                           Verdict::served,
-                           900,
-                           {static_cast<double>(below(9)), static_cast<double>(below(20)) / 10}});
+        handle(HealthCheckResult{"c" + std::to_string(below(3)) + "-" + std::to_string(below(4)),
+                                 AttemptStatus::served,
+                                 900,
+                                 {static_cast<double>(below(9)), static_cast<double>(below(20)) / 10}});
     }
 
-    void list(ListKind kind) {
-        ListNews news{static_cast<std::int64_t>(++version_), kind, {}};
+    void list(EndpointUpdateKind kind) {
+        EndpointUpdate news{static_cast<std::int64_t>(++version_), kind, {}};
         const auto add = [&](const std::string& name, int zone, int place, double weight) {
-            if (kind == ListKind::changes && below(6) != 0) return;
-            CacheEntry entry{.cache = name, .weight = weight, .zone = zone, .kind = place, .cell = zone * 2};
+            if (kind == EndpointUpdateKind::incremental && below(6) != 0) return;
+            Endpoint entry{.name = name, .weight = weight, .zone = zone, .kind = place, .cell = zone * 2};
             if (version_ > 1 && below(5) == 0)
-                entry.state = below(2) == 0 ? CacheState::draining : CacheState::gone;
-            if (version_ > 1 && below(4) == 0) entry.since = now_ - static_cast<Micros>(below(9'000'000));
-            entry.careful = version_ > 1 && below(12) == 0;
-            news.entries.push_back(entry);
+                entry.state = below(2) == 0 ? EndpointState::draining : EndpointState::removed;
+            if (version_ > 1 && below(4) == 0)
+                entry.started_at = now_ - static_cast<Micros>(below(9'000'000));
+            entry.unverified = version_ > 1 && below(12) == 0;
+            news.endpoints.push_back(entry);
         };
-        if (kind != ListKind::failed) {
+        if (kind != EndpointUpdateKind::failed) {
             for (int zone = 0; zone < 3; ++zone)
                 for (int i = 0; i < 4; ++i)
                     add("c" + std::to_string(zone) + "-" + std::to_string(i), zone, 0, 3 + i);
@@ -262,7 +268,7 @@
 }  // namespace
 
 TEST(RoutingReplay, QuietFleet) {
-    emulator::Fleet fleet(small(1, 300));
+    emulator::FleetEmulator fleet(small(1, 300));
     Replay replay;
     record(fleet, replay);
     fleet.run_for(12 * emulator::kSecond);
@@ -270,7 +276,7 @@
 }
 
 TEST(RoutingReplay, FleetWithPurgeRestartsLossesAndReturn) {
-    emulator::Fleet fleet(small(2, 500));
+    emulator::FleetEmulator fleet(small(2, 500));
     Replay replay;
     record(fleet, replay);
     fleet.run_for(4 * emulator::kSecond);
@@ -286,9 +292,9 @@
 }
 
 TEST(RoutingReplay, OverloadedOriginAndFleetAfterPowerLoss) {
-    emulator::Shape shape = small(3, 1'500);
+    emulator::FleetOptions shape = small(3, 1'500);
     shape.origin_fills_per_s = 120, shape.origin_bears = 2 * emulator::kSecond;
-    emulator::Fleet fleet(shape);
+    emulator::FleetEmulator fleet(shape);
     Replay replay;
     record(fleet, replay);
     fleet.run_for(4 * emulator::kSecond);
--- a/tests/config/keys_test.cpp
+++ b/tests/config/keys_test.cpp
@@ -31,7 +31,7 @@
     std::vector<std::string> complaints(const std::string& text) const {
         try {
             load(text);
-        } catch (const Complaints& all) {
+        } catch (const ValidationErrors& all) {
             std::vector<std::string> lines;
             for (const std::string& line : all.lines) lines.push_back(line.substr(folder_.size() + 1));
             return lines;
@@ -69,13 +69,13 @@
 )");
     EXPECT_FALSE(all.old_form);
     EXPECT_EQ(all.redis, "127.0.0.1:6379");
-    EXPECT_EQ(all.signed_front->leeway_s, 2.5);
-    EXPECT_EQ(all.signed_front->connections, 128);  // the table's default
+    EXPECT_EQ(all.signed_url_server->leeway_s, 2.5);
+    EXPECT_EQ(all.signed_url_server->connections, 128);  // the table's default
     EXPECT_EQ(all.discovery->sources.size(), 2u);
     EXPECT_EQ(all.discovery->longest_wait, 9'000'000);
-    EXPECT_EQ(all.saved_list->folder, folder_ + "/list");
-    EXPECT_EQ(all.saved_list->careful_until, 60'000'000);
-    EXPECT_EQ(all.saved_list->full_until, 5'000'000);
+    EXPECT_EQ(all.endpoint_snapshot->folder, folder_ + "/list");
+    EXPECT_EQ(all.endpoint_snapshot->unverified_until, 60'000'000);
+    EXPECT_EQ(all.endpoint_snapshot->full_until, 5'000'000);
     EXPECT_FALSE(all.store);
 }
 
@@ -126,7 +126,7 @@
     const Operator old = load(R"({"signed_front": {"listen": "127.0.0.1:8080", "host": "h", "audience": "a",
         "link_issuers": ["l"], "keys": "keys.json"}})");
     EXPECT_TRUE(old.old_form);
-    EXPECT_EQ(old.signed_front->link_issuers, Lines{"l"});
+    EXPECT_EQ(old.signed_url_server->link_issuers, Lines{"l"});
     EXPECT_EQ(complaints("{\n  \"signed_front\": {\"listen\": 3}}\n")[0],
               "op.toml:2:19: signed_front.host: is missing");
 }
@@ -139,7 +139,7 @@
         text += std::string(key.name) + " = " + key.otherwise + "\n";
         try {
             check(read_toml(text, "f"), "f");
-        } catch (const Complaints& all) {
+        } catch (const ValidationErrors& all) {
             for (const std::string& line : all.lines)
                 EXPECT_TRUE(line.ends_with("is missing")) << line;  // other keys of the section
         }
--- a/tests/daemon/crossings_test.cpp
+++ b/tests/daemon/crossings_test.cpp
@@ -6,9 +6,9 @@
 #include <algorithm>
 #include <functional>
 
-#include "daemon/ending.h"
-#include "feed/feed.h"
-#include "net/door.h"
+#include "daemon/shutdown_deadline.h"
+#include "discovery/discovery_watch.h"
+#include "net/connection_manager.h"
 #include "support.h"
 
 using namespace story;
@@ -53,21 +53,22 @@
 // A door with real connections, its loop turned by the test alone: what crosses does so exactly when it is
 // said.
 struct House {
-    struct Guest : net::Guest {
+    struct Guest : net::ClientConnection {
         House& house;
         explicit Guest(House& h) : house(h) { house.guests.push_back(this); }
-        void received(net::Stream&, std::string_view bytes) override {
+        void on_data(net::Stream&, std::string_view bytes) override {
             house.heard += bytes;
-            house.door.now(*this, bytes.ends_with('.') ? net::Doing::idle : net::Doing::sending);
+            house.door.set_state(
+                *this, bytes.ends_with('.') ? net::ConnectionState::idle : net::ConnectionState::receiving);
         }
-        void left() override { ++house.gone; }
+        void on_closed() override { ++house.gone; }
     };
     net::Loop loop;
     std::string heard;
     int gone = 0;
     std::vector<Guest*> guests;
-    net::Door door{
-        loop, "127.0.0.1:0", 8, {.request = 60'000'000, .idle = 60'000'000, .reading = 60'000'000}, [this] {
+    net::ConnectionManager door{
+        loop, "127.0.0.1:0", 8, {.request = 60'000'000, .idle = 60'000'000, .write = 60'000'000}, [this] {
             return std::make_unique<Guest>(*this);
         }};
 
@@ -273,9 +274,9 @@
 TEST_CASE("on a socket that another process listens on too the queue is left to it") {
     Peer shared;
     House house;
-    net::Door door(house.loop, net::Place("", dup(shared.fd())), 8,
-                   {.request = 60'000'000, .idle = 60'000'000, .reading = 60'000'000},
-                   [&] { return std::make_unique<House::Guest>(house); });
+    net::ConnectionManager door(house.loop, net::ListenAddress("", dup(shared.fd())), 8,
+                                {.request = 60'000'000, .idle = 60'000'000, .write = 60'000'000},
+                                [&] { return std::make_unique<House::Guest>(house); });
     Wire client = Wire::to(shared.port());
     client.send("a.");
     door.stop_listening(true);
@@ -291,7 +292,7 @@
     client.send("a.");
     house.until([&] { return house.heard == "a."; });
     house.guests[0]->stream()->write("answer");
-    house.door.send_away(true);
+    house.door.set_draining(true);
     house.until([&] { return client.readable(); });
     client.send("b.");  // crosses: the end is on its way already
     house.until([&] {
@@ -302,7 +303,7 @@
     CHECK(client.bytes(6) == "answer");
     CHECK(house.heard == "a.");
     client.close();
-    house.until([&] { return house.door.connections() == 0; });
+    house.until([&] { return house.door.connection_count() == 0; });
 }
 
 // Guards: between the last look for unread bytes and the end on the wire a request may come, which is then
@@ -313,10 +314,10 @@
     Wire client = Wire::to(house.door.port());
     client.send("a.");
     house.until([&] { return house.heard == "a."; });
-    house.door.send_away(true);  // and no turn of the loop
+    house.door.set_draining(true);  // and no turn of the loop
     CHECK(client.ends_in_order());
     client.close();
-    house.until([&] { return house.door.connections() == 0; });
+    house.until([&] { return house.door.connection_count() == 0; });
 }
 
 // Guards: bytes that have come are a request, also while nobody has read them.
@@ -326,16 +327,16 @@
     client.send("a."), half.send("b");
     house.until([&] { return house.heard.size() == 3; });
     client.send("c.");
-    REQUIRE(house.door.coming());
-    house.door.send_away(true);
-    house.door.part_with_all();
+    REQUIRE(house.door.has_pending_input());
+    house.door.set_draining(true);
+    house.door.close_all_idle();
     CHECK(house.gone == 0);
     house.until([&] { return house.heard.ends_with("c."); });
     CHECK(house.gone == 1);  // it rests, and is sent away
-    CHECK(house.door.coming());
+    CHECK(house.door.has_pending_input());
     half.send(".");
     house.until([&] { return house.gone == 2; });
-    CHECK_FALSE(house.door.coming());
+    CHECK_FALSE(house.door.has_pending_input());
 }
 
 // Guards: one that was sent away holds a descriptor until it has ended too; a client that comes needs it now.
@@ -345,29 +346,29 @@
     for (int i = 0; i < 8; ++i) old.push_back(Wire::to(house.door.port()));
     for (Wire& one : old) one.send(".");
     house.until([&] { return house.heard.size() == 8; });
-    house.door.send_away(true);
-    house.door.send_away(false);
-    REQUIRE(house.door.connections() == 8);
+    house.door.set_draining(true);
+    house.door.set_draining(false);
+    REQUIRE(house.door.connection_count() == 8);
     Wire fresh = Wire::to(house.door.port());
     fresh.send("new.");
     house.until([&] { return house.heard.ends_with("new."); });
-    CHECK(house.door.connections() == 8);  // the others are still about to leave
+    CHECK(house.door.connection_count() == 8);  // the others are still about to leave
 }
 
 // Guards: the platform kills 0.7 s after the longest deadline; where all are short that is long before 3.7 s.
 TEST_CASE("a process leaves before it is killed, whatever the settings' deadlines are") {
-    using sumackeel::daemon::ending_of;
-    nettlethread::Settings settings;
+    using sumackeel::daemon::shutdown_deadlines;
+    sumackeel::routing::Settings settings;
     for (const int deadline_ms : {100, 600, 1200, 2900, 3000, 6000, 60'000}) {
         settings.classes.assign(2, {});
-        settings.classes[0].give_up = 50'000;
-        settings.classes[1].give_up = deadline_ms * 1000;
-        const auto ending = ending_of(settings);
+        settings.classes[0].deadline = 50'000;
+        settings.classes[1].deadline = deadline_ms * 1000;
+        const auto ending = shutdown_deadlines(settings);
         const auto killed = std::min(deadline_ms, 3000) * 1000 + 700'000;
-        CHECK(ending.last_word < ending.gone);
-        CHECK(ending.gone < killed);
+        CHECK(ending.final_responses < ending.exit);
+        CHECK(ending.exit < killed);
         // Requests come for 0.6 s: the last of them has its own deadline, or 2.3 s.
-        CHECK(ending.last_word >= std::min(600'000 + deadline_ms * 1000 - 100'000, 2'900'000));
+        CHECK(ending.final_responses >= std::min(600'000 + deadline_ms * 1000 - 100'000, 2'900'000));
     }
 }
 
@@ -567,9 +568,10 @@
                                  "data:\"b\":2}" + end + end + "retry: 10" + end + "data" + end + end;
         for (std::size_t cut = 0; cut <= text.size(); ++cut) {
             std::vector<std::string> told;
-            sumackeel::feed::EventReader reader([&](const std::string& data) { told.push_back(data); });
-            reader.add(text.substr(0, cut));
-            reader.add(text.substr(cut));
+            sumackeel::discovery::EventStreamReader reader(
+                [&](const std::string& data) { told.push_back(data); });
+            reader.append(text.substr(0, cut));
+            reader.append(text.substr(cut));
             CHECK(told == std::vector<std::string>{"{\"a\":1,\n\"b\":2}", ""});
         }
     }
--- a/tests/daemon/gate_test.cpp
+++ b/tests/daemon/gate_test.cpp
@@ -3,7 +3,7 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
-#include "box.h"
+#include "cache_stub.h"
 
 using namespace story;
 
--- a/tests/daemon/list_test.cpp
+++ b/tests/daemon/list_test.cpp
@@ -9,19 +9,19 @@
 #include <filesystem>
 
 #include "base/clock.h"
-#include "box.h"
-#include "saved_list/folder.h"
+#include "cache_stub.h"
+#include "endpoint_snapshot/snapshot_directory.h"
 
 using namespace story;
-using nettlethread::CacheState;
 using sumackeel::base::kSecond;
 using sumackeel::base::Micros;
-using sumackeel::membership::Names;
-using sumackeel::membership::Snapshot;
+using sumackeel::endpoints::NameTables;
+using sumackeel::endpoints::Snapshot;
+using sumackeel::routing::EndpointState;
 
 namespace {
 
-const Names kNames{{"coast", "edge-1"}, {"small", "parent", "origin"}};
+const NameTables kNames{{"coast", "edge-1"}, {"small", "parent", "origin"}};
 
 sumackeel::base::UnixTime wall() {
     return sumackeel::base::Clock().unix_now();
@@ -31,7 +31,7 @@
     std::string name;
     std::string address;
     int kind = 0;  // a place in kNames
-    CacheState state = CacheState::ready;
+    EndpointState state = EndpointState::ready;
     Micros answered = 0;  // how long before the list was last sure; below 0: never
 };
 
@@ -40,22 +40,23 @@
     Snapshot list;
     list.site = "school";
     list.taken_at = wall() - age;
-    list.sure_age = 0;
-    list.last_seq = seq;
-    list.whole_at = 1;
+    list.confirmed_age = 0;
+    list.last_sequence = seq;
+    list.full_list_sequence = 1;
     for (const Entry& entry : entries) {
-        sumackeel::membership::Word word;
-        word.seq = seq;
-        word.placed.address = entry.address;
-        word.placed.entry = {.cache = entry.name,
-                             .weight = 8,
-                             .state = entry.state,
-                             .zone = entry.kind == 0 ? 1 : 0,
-                             .since = 0,
-                             .kind = entry.kind,
-                             .cell = 1,
-                             .careful = false};
-        list.members.push_back({std::make_shared<const sumackeel::membership::Word>(word), entry.answered});
+        sumackeel::endpoints::EndpointRecord word;
+        word.sequence = seq;
+        word.located.address = entry.address;
+        word.located.endpoint = {.name = entry.name,
+                                 .weight = 8,
+                                 .state = entry.state,
+                                 .zone = entry.kind == 0 ? 1 : 0,
+                                 .started_at = 0,
+                                 .kind = entry.kind,
+                                 .cell = 1,
+                                 .unverified = false};
+        list.endpoints.push_back(
+            {std::make_shared<const sumackeel::endpoints::EndpointRecord>(word), entry.answered});
     }
     return list;
 }
@@ -66,19 +67,20 @@
     sumackeel::config::Operator setup;
 
     explicit Saved(const Snapshot* list = nullptr) {
-        setup.saved_list.emplace();
-        setup.saved_list->folder = folder.path() + "/list";
-        setup.saved_list->site = "school";
-        setup.saved_list->save_every = 20'000;
-        setup.saved_list->refresh = 100'000;
+        setup.endpoint_snapshot.emplace();
+        setup.endpoint_snapshot->folder = folder.path() + "/list";
+        setup.endpoint_snapshot->site = "school";
+        setup.endpoint_snapshot->save_every = 20'000;
+        setup.endpoint_snapshot->refresh = 100'000;
         if (list) put(*list, 1);
     }
     void put(const Snapshot& list, std::uint64_t generation) const {
-        const sumackeel::saved_list::Folder at(setup.saved_list->folder);
+        const sumackeel::endpoint_snapshot::SnapshotDirectory at(setup.endpoint_snapshot->folder);
         REQUIRE(at.write(encode(list, kNames), generation, 0) == "");
     }
-    sumackeel::saved_list::Found read() const {
-        return sumackeel::saved_list::Folder(setup.saved_list->folder).read(kNames, "school", wall());
+    sumackeel::endpoint_snapshot::LoadedSnapshot read() const {
+        return sumackeel::endpoint_snapshot::SnapshotDirectory(setup.endpoint_snapshot->folder)
+            .read(kNames, "school", wall());
     }
     // Waits until what is on disk satisfies `holds`.
     template <typename Holds>
@@ -86,7 +88,7 @@
         const auto bound = std::chrono::steady_clock::now() + std::chrono::milliseconds(kBoundMs);
         while (std::chrono::steady_clock::now() < bound) {
             const auto found = read();
-            if (found.list && holds(*found.list)) return true;
+            if (found.snapshot && holds(*found.snapshot)) return true;
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
         return false;
@@ -124,12 +126,12 @@
 // the origin within its budget, what runs there goes there, and all else is refused at once.
 TEST_CASE("an hour-old list and dead discovery: no box gets work, each request gets its answer") {
     Box drained, serving, library;
-    const Snapshot list = list_of({{"s-drained", drained.address(), 0, CacheState::draining},
+    const Snapshot list = list_of({{"s-drained", drained.address(), 0, EndpointState::draining},
                                    {"s-serving", serving.address()},
                                    {"s-origin", library.address(), 2}},
                                   3600 * kSecond);
     Saved saved(&list);
-    saved.setup.saved_list->origin_per_s = 10;
+    saved.setup.endpoint_snapshot->origin_per_s = 10;
     Daemon daemon({}, nowhere(), saved.setup);
     Wire client = Wire::to(daemon.port());
     const auto start = std::chrono::steady_clock::now();
@@ -156,7 +158,7 @@
     "three instances from an hour-old list: a cold box is not pushed over, a drained one gets nothing") {
     Box drained, cold, library;
     cold.die();
-    const Snapshot list = list_of({{"s-drained", drained.address(), 0, CacheState::draining},
+    const Snapshot list = list_of({{"s-drained", drained.address(), 0, EndpointState::draining},
                                    {"s-cold", cold.address()},
                                    {"s-origin", library.address(), 2}},
                                   3600 * kSecond);
@@ -176,7 +178,7 @@
     std::vector<std::unique_ptr<Daemon>> daemons;
     for (int me = 0; me < 3; ++me) {
         folders.push_back(std::make_unique<Saved>(&list));
-        folders.back()->setup.saved_list->careful_until = 7200 * kSecond;
+        folders.back()->setup.endpoint_snapshot->unverified_until = 7200 * kSecond;
         daemons.push_back(std::make_unique<Daemon>(WithConfig{config_for(me)}, folders.back()->setup));
     }
     std::atomic<int> answered = 0, served = 0, late = 0;
@@ -232,11 +234,11 @@
                       {host_at("s-box", box.address()), host_at("s-origin", library.address(), "origin")}));
     {
         Daemon daemon({}, log.address(), saved.setup);
-        CHECK(saved.until([](const Snapshot& list) { return list.last_seq == 1; }));
+        CHECK(saved.until([](const Snapshot& list) { return list.last_sequence == 1; }));
         const auto ms = wall().micros / 1000;
         log.tell(2, R"({"seq":2,"invalidate":{"bucket":17,"time":)" + std::to_string(ms) + "}}");
-        CHECK(
-            saved.until([](const Snapshot& list) { return list.last_seq == 2 && list.purges.size() == 1; }));
+        CHECK(saved.until(
+            [](const Snapshot& list) { return list.last_sequence == 2 && list.purges.size() == 1; }));
         daemon.crash();
     }
     log.die();
@@ -267,7 +269,7 @@
                        {host_at("s-kept", kept.address()), host_at("s-fresh", fresh.address()),
                         host_at("s-origin", library.address(), "origin")}));
     log.come_back();
-    CHECK(saved.until([](const Snapshot& now) { return now.last_seq == 41 && now.sure_age >= 0; }));
+    CHECK(saved.until([](const Snapshot& now) { return now.last_sequence == 41 && now.confirmed_age >= 0; }));
     CHECK(log.asked_behind().front() == 39);  // one before: a source that holds 40 has to show it
     const auto before = old_box.count();
     for (int i = 21; i <= 80; ++i) CHECK(outcome(client, i, ask("sheet", i)) == 0);
@@ -293,7 +295,7 @@
     saved.setup.discovery->sources = {behind.address(), ahead.address()};
     saved.setup.discovery->follow = 2;
     Daemon daemon({}, "", saved.setup);
-    REQUIRE(saved.until([](const Snapshot& list) { return list.last_seq == 2; }));
+    REQUIRE(saved.until([](const Snapshot& list) { return list.last_sequence == 2; }));
     Wire client = Wire::to(daemon.port());
     for (int i = 1; i <= 20; ++i) CHECK(outcome(client, i, ask("sheet", i)) == 0);
     CHECK(a.count() == 0);
@@ -307,8 +309,8 @@
     const auto comments = behind.comments();
     while (behind.comments() < comments + 30) std::this_thread::sleep_for(std::chrono::milliseconds(5));
     const auto found = saved.read();
-    REQUIRE(found.list);
-    CHECK(sumackeel::membership::age_of(*found.list, wall()) > 800'000);
+    REQUIRE(found.snapshot);
+    CHECK(sumackeel::endpoints::age_of(*found.snapshot, wall()) > 800'000);
 }
 
 // Guards: a list without a single box, as a discovery that starts empty tells it, would stop all service at
@@ -322,7 +324,7 @@
     log.tell(1, fleet(1, true,
                       {host_at("s-box", box.address()), host_at("s-origin", library.address(), "origin")}));
     Daemon daemon({}, log.address(), saved.setup);
-    REQUIRE(saved.until([](const Snapshot& list) { return list.last_seq == 1; }));
+    REQUIRE(saved.until([](const Snapshot& list) { return list.last_sequence == 1; }));
     Wire client = Wire::to(daemon.port());
     const auto told = std::chrono::steady_clock::now();
     log.tell(2, fleet(2, true, {host_at("s-origin", library.address(), "origin")}));
@@ -348,12 +350,12 @@
     log.tell(1, fleet(1, true,
                       {host_at("s-box", first.address()), host_at("s-origin", library.address(), "origin")}));
     Daemon daemon({}, log.address(), saved.setup);
-    REQUIRE(saved.until([](const Snapshot& list) { return list.last_seq == 1; }));
+    REQUIRE(saved.until([](const Snapshot& list) { return list.last_sequence == 1; }));
     Wire client = Wire::to(daemon.port());
     CHECK(outcome(client, 1, ask("sheet", 1)) == 0);
     CHECK(first.count() == 1);
     log.tell(2, fleet(2, false, {host_at("s-box", second.address()), host_at("s-new", first.address())}));
-    REQUIRE(saved.until([](const Snapshot& list) { return list.last_seq == 2; }));
+    REQUIRE(saved.until([](const Snapshot& list) { return list.last_sequence == 2; }));
     for (int i = 2; i <= 60; ++i) CHECK(outcome(client, i, ask("sheet", i)) == 0);
     CHECK(second.count() > 0);
     CHECK(first.count() > 1);
@@ -369,11 +371,11 @@
     Saved saved;
     SUBCASE("the folder can't be made") {
         saved.folder.write("file", "no folder");
-        saved.setup.saved_list->folder = saved.folder.path() + "/file/list";
+        saved.setup.endpoint_snapshot->folder = saved.folder.path() + "/file/list";
     }
     SUBCASE("a write never ends") {
-        std::filesystem::create_directories(saved.setup.saved_list->folder);
-        REQUIRE(mkfifo((saved.setup.saved_list->folder + "/list-unfinished.tmp").c_str(), 0600) == 0);
+        std::filesystem::create_directories(saved.setup.endpoint_snapshot->folder);
+        REQUIRE(mkfifo((saved.setup.endpoint_snapshot->folder + "/list-unfinished.tmp").c_str(), 0600) == 0);
     }
     {
         Daemon daemon({}, log.address(), saved.setup);
@@ -386,7 +388,7 @@
         }
         for (int i = seqid + 1; i <= seqid + 100; ++i) CHECK(outcome(client, i, ask("sheet", i)) == 0);
         // Let the hanging write go, so that the loop can be taken down in this process.
-        const std::string pipe = saved.setup.saved_list->folder + "/list-unfinished.tmp";
+        const std::string pipe = saved.setup.endpoint_snapshot->folder + "/list-unfinished.tmp";
         if (std::filesystem::is_fifo(pipe)) {
             const int reader = ::open(pipe.c_str(), O_RDONLY | O_NONBLOCK);
             std::filesystem::remove(pipe);
--- a/tests/daemon/platform_test.cpp
+++ b/tests/daemon/platform_test.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "front_platform/thrift.h"
+#include "platform_server/thrift_codec.h"
 #include "support.h"
 
 using namespace story;
@@ -310,7 +310,7 @@
     const std::string first = alive(1), second = dispatch(2, read("sheet", "00000000000000a1"));
     const std::string all = first + second + first;
     for (std::size_t step = 1; step <= all.size(); ++step) {
-        sumackeel::front_platform::FrameReader reader;
+        sumackeel::platform_server::FrameReader reader;
         std::vector<std::string> frames;
         for (std::size_t at = 0; at < all.size(); at += step)
             reader.read(std::string_view(all).substr(at, step), [&](std::string_view whole) {
@@ -402,7 +402,9 @@
                                                                  {"need", "1e300"},
                                                                  {"seen", "a,b"}};
     int seqid = 0;
-    for (const auto& [field, value] : wrong) {
+    for (const auto& each : wrong) {
+        const auto& field = each.first;
+        const auto& value = each.second;
         CAPTURE(field);
         CAPTURE(value);
         Fields fields = read("sheet", "00000000000000b1");
--- a/tests/daemon/service_test.cpp
+++ b/tests/daemon/service_test.cpp
@@ -14,7 +14,7 @@
 
 sumackeel::config::Config with_ops(const std::vector<std::string>& hosts, int inherited = -1,
                                    const std::string& changelog = {}) {
-    auto config = sumackeel::config::read_config(config_text(hosts, changelog));
+    auto config = sumackeel::config::parse_config(config_text(hosts, changelog));
     config.ops = "127.0.0.1:0";
     config.inherited_fd = inherited;
     return config;
@@ -29,6 +29,13 @@
     return all.starts_with("HTTP/1.1 ") ? std::stoi(all.substr(9, 3)) : 0;
 }
 
+// Until the proxy says that it is ready: before that it may not have read what was handed over, and no client
+// is sent to it.
+void wait_until_ready(int ops_port) {
+    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+    while (call(ops_port, "GET", "/ops/readiness") != 200) REQUIRE(std::chrono::steady_clock::now() < end);
+}
+
 std::string answer_to(const Req& req) {
     return req.id + " DONE digest=ab12,dated=1764576000123,tell=pulled,meter=inflight:1;x1:0.1 2\r\nok\r\n";
 }
@@ -92,7 +99,7 @@
     Folder folder;
     Daemon daemon(with_ops(fleet.hosts()), {{}, {}, folder.path() + "/handover"});
     const int ops = daemon.ops_port();
-    CHECK(call(ops, "GET", "/ops/readiness") == 200);
+    wait_until_ready(ops);
     CHECK(call(ops, "POST", "/ops/pop-caches/down/s-a") == 200);
     CHECK(call(ops, "POST", "/ops/pop-caches/down/s-a") == 200);
     CHECK(call(ops, "POST", "/ops/pop-caches/down/s-never-listed") == 404);
@@ -139,6 +146,7 @@
     }
     Answering b(fleet.b);
     Daemon fresh(with_ops(fleet.hosts()), {{}, {}, file});
+    wait_until_ready(fresh.ops_port());
     Wire client = Wire::to(fresh.port());
     served_reads(client, 12);
     CHECK_FALSE(fleet.a.called());
@@ -155,7 +163,7 @@
     Daemon old(with_ops(fleet.hosts(), dup(shared.fd())), {{}, {}, file});
     REQUIRE(call(old.ops_port(), "POST", "/ops/pop-caches/down/s-parent") == 200);
     Daemon fresh(with_ops(fleet.hosts(), dup(shared.fd())), {{}, {}, file});
-    REQUIRE(call(fresh.ops_port(), "GET", "/ops/readiness") == 200);
+    wait_until_ready(fresh.ops_port());
     REQUIRE(call(fresh.ops_port(), "POST", "/ops/pop-caches/down/s-b") == 200);
     std::string stats;
     const auto down = [&](int count) {
@@ -184,7 +192,7 @@
     Folder folder;
     const std::string file = folder.write("handover", "sumackeel ops hand-over 1\ndown s-a\nsum 00");
     Daemon daemon(with_ops(fleet.hosts()), {{}, {}, file});
-    CHECK(call(daemon.ops_port(), "GET", "/ops/readiness") == 200);
+    wait_until_ready(daemon.ops_port());
 }
 
 TEST_CASE("a drain says no, sends idle clients away and ends with a yes") {
@@ -249,7 +257,7 @@
     });
     while (answered < 50) std::this_thread::yield();
     Daemon fresh(with_ops(fleet.hosts(), dup(fd)), {});
-    REQUIRE(call(fresh.ops_port(), "GET", "/ops/readiness") == 200);
+    wait_until_ready(fresh.ops_port());
     old->end();  // it says no from here on, and leaves once what it took is answered
     old->join();
     const int at_end = answered;
--- a/tests/daemon/signed_test.cpp
+++ b/tests/daemon/signed_test.cpp
@@ -3,12 +3,12 @@
 #include <doctest/doctest.h>
 #include <signal.h>
 
-#include "front_signed/links.h"
+#include "signed_url_server/signed_urls.h"
 #include "support.h"
 
 using namespace story;
 using sumackeel::config::Purpose;
-using sumackeel::front_signed::Gate;
+using sumackeel::signed_url_server::LinkVerifier;
 
 namespace {
 
@@ -18,9 +18,9 @@
     return R"({"kty":"oct","kid":")" + kid + R"(","alg":")" + alg + R"(","k":")" + k + R"("})";
 }
 
-sumackeel::config::SignedFront setup() {
+sumackeel::config::SignedUrlServer setup() {
     const std::string a(43, 'A'), b = "B" + std::string(42, 'A'), c = "C" + std::string(42, 'A');
-    sumackeel::config::SignedFront front;
+    sumackeel::config::SignedUrlServer front;
     front.listen = "127.0.0.1:0";
     front.host = front.audience = "cache.example.org";
     front.link_issuers = {"lessons"};
@@ -38,16 +38,16 @@
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-sumackeel::config::Operator setup_of(const sumackeel::config::SignedFront& front) {
+sumackeel::config::Operator setup_of(const sumackeel::config::SignedUrlServer& front) {
     sumackeel::config::Operator all;
-    all.signed_front = front;
+    all.signed_url_server = front;
     return all;
 }
 
 struct Site {
     Peer cache, parent, origin;
-    sumackeel::config::SignedFront front = setup();
-    Gate signer{front};
+    sumackeel::config::SignedUrlServer front = setup();
+    LinkVerifier signer{front};
     Daemon daemon{{host("s-cache", cache, "edge-1", "small"), host("s-parent", parent, "coast", "parent"),
                    host("s-origin", origin, "coast", "origin")},
                   "",
@@ -55,8 +55,8 @@
 
     std::string link(const std::string& path, double good_for = 60, const std::string& jti = {},
                      const std::string& student = "ana", const std::string& kid = "link-1") {
-        sumackeel::front_signed::Target target;
-        REQUIRE(sumackeel::front_signed::read_target(path, target));
+        sumackeel::signed_url_server::Target target;
+        REQUIRE(sumackeel::signed_url_server::parse_target(path, target));
         const std::string uri = signer.sign(target, kid, "subject-1", student, now() + good_for, jti);
         return uri.substr(std::string("https://cache.example.org").size());
     }
@@ -233,16 +233,16 @@
 TEST_CASE("a revoked link and a key that was switched off") {
     const auto front = setup();
     std::map<std::string, std::string> live;
-    const Gate gate(front, [&](const std::string& key) {
+    const LinkVerifier gate(front, [&](const std::string& key) {
         const auto found = live.find(key);
         return found == live.end() ? std::nullopt : std::optional(found->second);
     });
-    sumackeel::front_signed::Target target;
-    REQUIRE(sumackeel::front_signed::read_target(kEnrol, target));
+    sumackeel::signed_url_server::Target target;
+    REQUIRE(sumackeel::signed_url_server::parse_target(kEnrol, target));
     const std::string uri = gate.sign(target, "link-1", "subject-1", "ana", now() + 60, "j1");
     const std::string ana = gate.student_token("student-1", "ana", now() + 60);
-    sumackeel::front_signed::Target link;
-    REQUIRE(sumackeel::front_signed::read_target(uri.substr(uri.find("/enrol")), link));
+    sumackeel::signed_url_server::Target link;
+    REQUIRE(sumackeel::signed_url_server::parse_target(uri.substr(uri.find("/enrol")), link));
     const auto status = [&](double at) { return gate.check(link, ana, true, at).status; };
     CHECK(status(now()) == 0);
     CHECK(status(now() + 65) == 401);
@@ -284,10 +284,10 @@
     const std::string config_file = folder.write("config.json", config_text(hosts));
     Daemon daemon(hosts, {}, sumackeel::config::load_operator(operator_file),
                   {config_file, operator_file, {}});
-    const sumackeel::config::SignedFront front = setup();
-    const Gate signer(front);
-    sumackeel::front_signed::Target target;
-    REQUIRE(sumackeel::front_signed::read_target(kVideo, target));
+    const sumackeel::config::SignedUrlServer front = setup();
+    const LinkVerifier signer(front);
+    sumackeel::signed_url_server::Target target;
+    REQUIRE(sumackeel::signed_url_server::parse_target(kVideo, target));
     const std::string token = signer.student_token("student-1", "ana", now() + 60);
     const auto link = [&](const std::string& kid) {
         const std::string uri = signer.sign(target, kid, "subject-1", "ana", now() + 60, "");
@@ -316,7 +316,7 @@
 // Guards: the same door stands before both fronts.
 TEST_CASE("clients that only connect don't shut a student out") {
     Peer cache, parent, origin;
-    sumackeel::config::SignedFront front = setup();
+    sumackeel::config::SignedUrlServer front = setup();
     front.connections = 8;
     Daemon daemon({host("s-cache", cache, "edge-1", "small"), host("s-parent", parent, "coast", "parent"),
                    host("s-origin", origin, "coast", "origin")},
--- a/tests/daemon/cold_test.py
+++ b/tests/daemon/slow_start_test.py
@@ -4,7 +4,7 @@
 What all processes together send a cold pop cache in the settings' time may be N calls of mean work, N being what the
 settings allow it then, and 2 x root of N + 2 by chance. Each process knows of the others by the settings' number alone.
 With a number of 1 in its place the same burst has to go over that bound: else the test could not fail.
-Usage: cold_test.py SUMACKEEL
+Usage: slow_start_test.py SUMACKEEL
 """
 import json
 import math
--- a/tests/daemon/store_test.cpp
+++ b/tests/daemon/store_test.cpp
@@ -11,8 +11,8 @@
 
 #include "net/listener.h"
 #include "net/stream.h"
-#include "store/old_store.h"
-#include "store/redis_one_time.h"
+#include "store/legacy_store_import.h"
+#include "store/redis_one_time_tokens.h"
 
 using namespace sumackeel;
 
@@ -34,14 +34,14 @@
 // Turns the loop until something holds; the bound only turns a hang into a failure.
 struct Turning {
     net::Loop loop;
-    net::Budget budget{64};
+    net::SocketBudget budget{64};
 
     template <typename Holds>
     bool until(Holds holds) {
         const auto bound = loop.clock().now() + 10'000'000;
         while (!holds()) {
             if (loop.clock().now() > bound) return false;
-            loop.deadlines().set(loop.clock().now() + 1'000, [] {});
+            loop.timers().schedule(loop.clock().now() + 1'000, [] {});
             uv_run(loop.raw(), UV_RUN_ONCE);
         }
         return true;
@@ -67,7 +67,7 @@
 // further up was, so to go on without it would lose it.
 TEST_CASE("the old store is read whole, or named as damaged") {
     Folder folder;
-    CHECK_FALSE(store::has_old_store(folder.at("")));
+    CHECK_FALSE(store::has_legacy_store(folder.at("")));
     const auto write = [&](const char* name, const std::string& text) {
         std::ofstream(folder.at(name), std::ios::binary | std::ios::trunc) << text;
     };
@@ -76,35 +76,35 @@
     const std::string log =
         record(2, "key/k", "off") + record(3, "revoked/j", "yes") + record(4, "key/k", "on");
     write("log", log);
-    REQUIRE(store::has_old_store(folder.at("")));
-    store::OldStore old = store::read_old_store(folder.at(""));
+    REQUIRE(store::has_legacy_store(folder.at("")));
+    store::LegacyStore old = store::read_legacy_store(folder.at(""));
     CHECK(old.leader == "b");
     CHECK(old.values == std::map<std::string, std::string>{{"key/k", "on"}, {"revoked/j", "yes"}});
     for (std::size_t cut = 1; cut < record(4, "key/k", "on").size(); ++cut) {
         write("log", log.substr(0, log.size() - cut));
-        CHECK(store::read_old_store(folder.at("")).values.at("key/k") == "off");
+        CHECK(store::read_legacy_store(folder.at("")).values.at("key/k") == "off");
     }
     std::string flipped = log;
     flipped[record(2, "key/k", "off").size() + 30] ^= 1;
     write("log", flipped);
-    CHECK_THROWS_AS(store::read_old_store(folder.at("")), store::StoreError);
+    CHECK_THROWS_AS(store::read_legacy_store(folder.at("")), store::StoreError);
     write("log", record(3, "a", "b") + record(5, "a", "c"));
-    CHECK_THROWS_AS(store::read_old_store(folder.at("")), store::StoreError);
+    CHECK_THROWS_AS(store::read_legacy_store(folder.at("")), store::StoreError);
     write("log", log);
     write("snapshot", "0123456789abcdef {}\n");
-    CHECK_THROWS_AS(store::read_old_store(folder.at("")), store::StoreError);
+    CHECK_THROWS_AS(store::read_legacy_store(folder.at("")), store::StoreError);
 }
 
 namespace {
 
 // A stand-in for Redis: SET key 1 NX PX ms and DEL key, as its protocol (RESP) words them.
-struct Resp : net::Stream::Owner {
+struct Resp : net::Stream::Handler {
     std::map<std::string, std::string> keys;
     std::vector<net::Stream*> streams;
     std::string buffer;
     bool mute = false;
 
-    void received(net::Stream& stream, std::string_view bytes) override {
+    void on_data(net::Stream& stream, std::string_view bytes) override {
         buffer += bytes;
         for (;;) {
             std::size_t at = 0;
@@ -134,7 +134,7 @@
                 stream.write("-ERR not here\r\n");
         }
     }
-    void gone(net::Stream& stream, net::Gone) override { std::erase(streams, &stream); }
+    void on_close(net::Stream& stream, net::DisconnectCause) override { std::erase(streams, &stream); }
 };
 
 }  // namespace
@@ -147,23 +147,23 @@
     listener = std::make_unique<net::Listener>(turning.loop, "127.0.0.1:0", [&] {
         resp.streams.push_back(net::Stream::adopt(turning.loop, turning.budget, listener->accept(), resp));
     });
-    store::RedisOneTime one_time(turning.loop, "127.0.0.1:" + std::to_string(listener->port()));
-    using core::Use;
+    store::RedisOneTimeTokens one_time(turning.loop, "127.0.0.1:" + std::to_string(listener->port()));
+    using core::TokenUse;
     const auto use = [&](const std::string& name) {
-        std::optional<Use> told;
-        one_time.use(name, 0, 60, [&](Use how) { told = how; });
+        std::optional<TokenUse> told;
+        one_time.redeem(name, 0, 60, [&](TokenUse how) { told = how; });
         CHECK(turning.until([&] { return told.has_value(); }));
-        return told.value_or(Use::unknown);
+        return told.value_or(TokenUse::unknown);
     };
-    Use first = Use::unknown;
-    CHECK(turning.until([&] { return (first = use("j1")) != Use::unknown; }));
-    CHECK(first == Use::first);
-    CHECK(use("j1") == Use::again);
-    one_time.give_back("j1");
-    CHECK(use("j1") == Use::first);
+    TokenUse first = TokenUse::unknown;
+    CHECK(turning.until([&] { return (first = use("j1")) != TokenUse::unknown; }));
+    CHECK(first == TokenUse::first);
+    CHECK(use("j1") == TokenUse::reused);
+    one_time.release("j1");
+    CHECK(use("j1") == TokenUse::first);
     resp.mute = true;
-    CHECK(use("j2") == Use::unknown);
+    CHECK(use("j2") == TokenUse::unknown);
     listener.reset();
     for (net::Stream* stream : std::exchange(resp.streams, {})) stream->close();
-    CHECK(turning.until([&] { return use("j3") == Use::unknown; }));
+    CHECK(turning.until([&] { return use("j3") == TokenUse::unknown; }));
 }
--- a/tests/daemon/support.h
+++ b/tests/daemon/support.h
@@ -320,13 +320,13 @@
 class Daemon {
   public:
     Daemon(const WithConfig& config, const sumackeel::config::Operator& setup)
-        : config_(sumackeel::config::read_config(config.text)),
+        : config_(sumackeel::config::parse_config(config.text)),
           operator_(setup),
           daemon_(config_, operator_),
           thread_([this] { daemon_.run(); }) {}
     Daemon(const std::vector<std::string>& hosts, const std::string& changelog = {},
            const sumackeel::config::Operator& setup = {}, sumackeel::daemon::Files files = {}, Room room = {})
-        : config_(sumackeel::config::read_config(config_text(hosts, changelog, room))),
+        : config_(sumackeel::config::parse_config(config_text(hosts, changelog, room))),
           operator_(setup),
           daemon_(config_, operator_, std::move(files)),
           thread_([this] { daemon_.run(); }) {}
--- a/tests/nettlethread/fleet_test.cpp
+++ b/tests/emulator/fleet_emulator_test.cpp
@@ -1,5 +1,5 @@
 // What a hundred routers do together, each alone: totals at the origin and at cold boxes.
-#include "emulator/fleet.h"
+#include "emulator/fleet_emulator.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 namespace {
 
-void each_answered_once(const Fleet& fleet) {
+void each_answered_once(const FleetEmulator& fleet) {
     const Totals& t = fleet.totals;
     EXPECT_EQ(t.twice, 0);
     EXPECT_LE(t.asked - t.served - t.refused - t.failed, t.asked / 20);  // those still open
@@ -17,7 +17,7 @@
 
 // Guards: fills given up at a crowded origin were asked for again, by all routers, until it stopped for good.
 TEST(Fleet, APurgeOfEverythingDoesNotPushAnOriginOver) {
-    Fleet fleet({});
+    FleetEmulator fleet({});
     fleet.run_for(8 * kSecond);
     fleet.origin_does(150);
     fleet.totals = {};
@@ -33,15 +33,15 @@
 // must not push it over right after a list told of it to all at once.
 TEST(Fleet, AllRoutersTogetherKeepToTheColdBudget) {
     for (const int routers : {15, 100, 300}) {
-        Shape shape;
+        FleetOptions shape;
         shape.routers = routers;
-        Fleet fleet(shape);
+        FleetEmulator fleet(shape);
         fleet.run_for(4 * kSecond);
         std::vector<std::string> cold{"p0", "p1"};
-        for (int zone = 0; zone < 9; ++zone) cold.push_back(Fleet::box(zone, 1));
+        for (int zone = 0; zone < 9; ++zone) cold.push_back(FleetEmulator::box(zone, 1));
         fleet.restart(cold);
         fleet.totals = {};
-        const Micros window = fleet.set().overload_for;
+        const Micros window = fleet.set().overload_window;
         fleet.run_for(window);
         for (const std::string& box : cold)
             EXPECT_LE(fleet.totals.most_within(box, window), fleet.breaks_at(box, window))
@@ -52,9 +52,9 @@
 // Guards: parents that vanish without a word are known by each router alone, from what it sent there itself;
 // and once they answer again, empty and cold and told by no list, all together must not push them over.
 TEST(Fleet, ParentsLostWithoutAWordAreLeftAndNotPushedOverOnTheirReturn) {
-    Shape shape;
+    FleetOptions shape;
     shape.routers = 15;
-    Fleet fleet(shape);
+    FleetEmulator fleet(shape);
     const std::vector<std::string> lost{"p0", "p1"};
     fleet.run_for(10 * kSecond);
     const int before = fleet.totals.named_between(lost, fleet.now() - kSecond, fleet.now());
@@ -67,7 +67,7 @@
     EXPECT_EQ(fleet.totals.twice, 0);
     fleet.come_back(lost);
     fleet.totals = {};
-    const Micros window = fleet.set().overload_for;
+    const Micros window = fleet.set().overload_window;
     fleet.run_for(window);
     for (const std::string& box : lost)
         EXPECT_LE(fleet.totals.most_within(box, window), fleet.breaks_at(box, window)) << box;
--- a/tests/saved_list/folder_test.cpp
+++ b/tests/endpoint_snapshot/endpoint_snapshot_test.cpp
@@ -1,6 +1,4 @@
 // The list on disk: generations, crashes at any moment, disks that fail, and what each costs.
-#include "saved_list/folder.h"
-
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -14,21 +12,22 @@
 #include <fstream>
 #include <random>
 
-#include "saved_list/keeper.h"
+#include "endpoint_snapshot/snapshot_directory.h"
+#include "endpoint_snapshot/snapshot_writer.h"
 
-namespace sumackeel::saved_list {
+namespace sumackeel::endpoint_snapshot {
 namespace {
 
 using base::kSecond;
-using membership::Fault;
-using membership::Names;
-using membership::Snapshot;
+using endpoints::NameTables;
+using endpoints::Snapshot;
+using endpoints::SnapshotError;
 
 std::string name_of(std::uint64_t generation) {
-    return base::Generations("", "list-", ".sumlist").path_of(generation).substr(1);
+    return base::GenerationFiles("", "list-", ".sumlist").path_of(generation).substr(1);
 }
 
-const Names kNames{{"edge-1"}, {"small"}};
+const NameTables kNames{{"edge-1"}, {"small"}};
 
 base::UnixTime wall() {
     return base::Clock().unix_now();
@@ -39,24 +38,24 @@
     Snapshot list;
     list.site = "school";
     list.taken_at = taken_at.micros ? taken_at : wall();
-    list.sure_age = 0;
-    list.last_seq = number;
+    list.confirmed_age = 0;
+    list.last_sequence = number;
     for (int i = 0; i < members; ++i) {
-        membership::Word word;
-        word.seq = number;
-        word.placed.address = "10.0.0.1:" + std::to_string(number % 60'000);
-        word.placed.entry.cache = "s-" + std::to_string(number) + '-' + std::to_string(i);
-        word.placed.entry.zone = word.placed.entry.kind = 0;
-        list.members.push_back({std::make_shared<const membership::Word>(word), 0});
+        endpoints::EndpointRecord word;
+        word.sequence = number;
+        word.located.address = "10.0.0.1:" + std::to_string(number % 60'000);
+        word.located.endpoint.name = "s-" + std::to_string(number) + '-' + std::to_string(i);
+        word.located.endpoint.zone = word.located.endpoint.kind = 0;
+        list.endpoints.push_back({std::make_shared<const endpoints::EndpointRecord>(word), 0});
     }
     return list;
 }
 
 bool is_whole(const Snapshot& list, int members = 20) {
-    const auto expected = list_of(list.last_seq, {1}, members);
-    return list.members.size() == expected.members.size() &&
-           std::equal(list.members.begin(), list.members.end(), expected.members.begin(),
-                      [](const auto& a, const auto& b) { return a.word->same_as(*b.word); });
+    const auto expected = list_of(list.last_sequence, {1}, members);
+    return list.endpoints.size() == expected.endpoints.size() &&
+           std::equal(list.endpoints.begin(), list.endpoints.end(), expected.endpoints.begin(),
+                      [](const auto& a, const auto& b) { return a.record->is_equivalent(*b.record); });
 }
 
 class ListFolder : public ::testing::Test {
@@ -67,10 +66,10 @@
     }
     ~ListFolder() override { std::filesystem::remove_all(path_); }
     std::string put(std::uint64_t generation, const Snapshot& list) const {
-        EXPECT_EQ(Folder(path_).write(encode(list, kNames), generation, generation - 1), "");
+        EXPECT_EQ(SnapshotDirectory(path_).write(encode(list, kNames), generation, generation - 1), "");
         return path_ + '/' + name_of(generation);
     }
-    Found read() const { return Folder(path_).read(kNames, "school", wall()); }
+    LoadedSnapshot read() const { return SnapshotDirectory(path_).read(kNames, "school", wall()); }
     std::size_t files() const {
         return static_cast<std::size_t>(
             std::distance(std::filesystem::directory_iterator(path_), std::filesystem::directory_iterator()));
@@ -89,10 +88,10 @@
 }  // namespace
 
 TEST_F(ListFolder, TheNewestIsReadAndTwoAreKept) {
-    EXPECT_FALSE(read().list);
+    EXPECT_FALSE(read().snapshot);
     for (std::uint64_t g = 1; g <= 5; ++g) put(g, list_of(static_cast<std::int64_t>(g)));
-    const Found found = read();
-    EXPECT_EQ(found.list->last_seq, 5);
+    const LoadedSnapshot found = read();
+    EXPECT_EQ(found.snapshot->last_sequence, 5);
     EXPECT_EQ(found.generation, 5u);
     EXPECT_EQ(files(), 2u);
 }
@@ -102,31 +101,31 @@
     const auto passed = [&](const Snapshot& newer, auto&& change) {
         put(1, list_of(1, now));
         change(put(2, newer));
-        const Found found = read();
-        EXPECT_TRUE(found.list && found.list->last_seq == 1);
+        const LoadedSnapshot found = read();
+        EXPECT_TRUE(found.snapshot && found.snapshot->last_sequence == 1);
         EXPECT_EQ(found.generation, 2u);  // the next one is written above it
-        return found.passed.empty() ? Fault::Kind::unreadable : found.passed[0].fault.kind;
+        return found.skipped.empty() ? SnapshotError::Code::unreadable : found.skipped[0].fault.code;
     };
     const auto as_it_is = [](const std::string&) {};
-    EXPECT_EQ(passed(list_of(2, now + 3600 * kSecond), as_it_is), Fault::Kind::wrong_clock);
+    EXPECT_EQ(passed(list_of(2, now + 3600 * kSecond), as_it_is), SnapshotError::Code::wrong_clock);
     EXPECT_EQ(read().warnings.size(), 1u);
-    EXPECT_EQ(passed(list_of(2, {kSecond}), as_it_is), Fault::Kind::wrong_clock);  // 1970
+    EXPECT_EQ(passed(list_of(2, {kSecond}), as_it_is), SnapshotError::Code::wrong_clock);  // 1970
     Snapshot foreign = list_of(2, now);
     foreign.site = "elsewhere";
-    EXPECT_EQ(passed(foreign, as_it_is), Fault::Kind::other_site);
+    EXPECT_EQ(passed(foreign, as_it_is), SnapshotError::Code::other_site);
     EXPECT_EQ(passed(list_of(2, now), [](const std::string& file) { spoil(file, 100); }),
-              Fault::Kind::damaged);
+              SnapshotError::Code::damaged);
     EXPECT_EQ(passed(list_of(2, now), [](const std::string& file) { std::ofstream(file) << ""; }),
-              Fault::Kind::not_a_list);
+              SnapshotError::Code::not_a_list);
     EXPECT_EQ(
         passed(list_of(2, now), [](const std::string& file) { std::filesystem::resize_file(file, 200); }),
-        Fault::Kind::damaged);
+        SnapshotError::Code::damaged);
     EXPECT_EQ(passed(list_of(2, now),
                      [](const std::string& file) {
                          std::filesystem::remove(file);
                          std::filesystem::create_directory(file);
                      }),
-              Fault::Kind::not_a_list);
+              SnapshotError::Code::not_a_list);
 }
 
 // Guards: a crash at any byte of a write. What was written so far lies under a name that nobody reads.
@@ -135,14 +134,14 @@
     const std::string bytes = encode(list_of(8), kNames);
     for (std::size_t cut = 0; cut <= bytes.size(); cut += 13) {
         std::ofstream(path_ + "/list-unfinished.tmp", std::ios::binary) << bytes.substr(0, cut);
-        const Found found = read();
-        ASSERT_EQ(found.list->last_seq, 7);
-        ASSERT_TRUE(found.passed.empty());
+        const LoadedSnapshot found = read();
+        ASSERT_EQ(found.snapshot->last_sequence, 7);
+        ASSERT_TRUE(found.skipped.empty());
     }
     // And where the name made it to the disk before the bytes did, the older one is read.
     for (std::size_t cut = 0; cut < bytes.size(); cut += 13) {
         std::ofstream(path_ + '/' + name_of(8), std::ios::binary) << bytes.substr(0, cut);
-        ASSERT_EQ(read().list->last_seq, 7);
+        ASSERT_EQ(read().snapshot->last_sequence, 7);
     }
 }
 
@@ -160,7 +159,7 @@
         const pid_t child = fork();
         ASSERT_GE(child, 0);
         if (child == 0) {
-            const Folder folder(path_);
+            const SnapshotDirectory folder(path_);
             for (std::uint64_t g = generation + 1;; ++g) {
                 const auto number = static_cast<std::int64_t>(g);
                 if (!folder.write(encode(list_of(number), kNames), g, g - 1).empty()) _exit(1);
@@ -178,22 +177,23 @@
         told = number;
         while (::read(ends[0], &number, sizeof number) == sizeof number) told = number;
         ::close(ends[0]);
-        const Found found = read();
-        ASSERT_TRUE(found.list) << "kill " << kill_number << ", seed " << seed;
-        ASSERT_TRUE(found.passed.empty()) << found.passed[0].fault.text;
-        ASSERT_TRUE(is_whole(*found.list));
-        ASSERT_TRUE(found.list->last_seq == told || found.list->last_seq == told + 1) << found.list->last_seq;
-        newer += found.list->last_seq == told + 1;
+        const LoadedSnapshot found = read();
+        ASSERT_TRUE(found.snapshot) << "kill " << kill_number << ", seed " << seed;
+        ASSERT_TRUE(found.skipped.empty()) << found.skipped[0].fault.text;
+        ASSERT_TRUE(is_whole(*found.snapshot));
+        ASSERT_TRUE(found.snapshot->last_sequence == told || found.snapshot->last_sequence == told + 1)
+            << found.snapshot->last_sequence;
+        newer += found.snapshot->last_sequence == told + 1;
         generation = found.generation;
     }
     RecordProperty("killed_after_the_rename", newer);
 }
 
 TEST_F(ListFolder, TwoProgramsOnOneFolderAreToldApart) {
-    const base::FolderLock first(path_);
-    EXPECT_EQ(first.fault(), "");
-    const base::FolderLock second(path_);
-    EXPECT_NE(second.fault().find("held by another program"), std::string::npos);
+    const base::DirectoryLock first(path_);
+    EXPECT_EQ(first.error(), "");
+    const base::DirectoryLock second(path_);
+    EXPECT_NE(second.error().find("held by another program"), std::string::npos);
 }
 
 // ---- the keeper ----
@@ -203,7 +203,8 @@
 // A loop with a keeper whose list is numbered by `number`, and the log's lines.
 class Keeping {
   public:
-    explicit Keeping(const std::string& folder, Pace pace = {.save_every = 20'000, .refresh = 50'000})
+    explicit Keeping(const std::string& folder,
+                     WriteSchedule pace = {.save_every = 20'000, .refresh = 50'000})
         : keeper(loop, folder, kNames, pace, [this] { return list_of(number); }) {
         uv_async_init(loop.raw(), &awake_, nullptr);  // a loop with deadlines alone counts as done
         std::string form = (std::filesystem::temp_directory_path() / "sumackeel-log-XXXXXX").string();
@@ -229,7 +230,7 @@
         const Micros bound = loop.clock().now() + 20 * kSecond;
         while (!holds()) {
             if (loop.clock().now() > bound) return false;
-            loop.deadlines().set(loop.clock().now() + 1'000, [] {});
+            loop.timers().schedule(loop.clock().now() + 1'000, [] {});
             uv_run(loop.raw(), UV_RUN_ONCE);
         }
         return true;
@@ -245,7 +246,7 @@
     uv_async_t awake_{};  // outlives the loop
     std::int64_t number = 1;
     net::Loop loop;
-    Keeper keeper;
+    SnapshotWriter keeper;
 
   private:
     std::string log_;
@@ -256,26 +257,26 @@
 
 TEST_F(ListFolder, ChangesAreWrittenSoonAndNotTooOften) {
     Keeping keeping(path_);
-    keeping.keeper.changed();
+    keeping.keeper.on_changed();
     EXPECT_FALSE(keeping.keeper.writing());  // not before it knows what is there
-    keeping.keeper.begin_behind(4, 0);
+    keeping.keeper.start_after(4, 0);
     const Micros start = keeping.loop.clock().now();
     ASSERT_TRUE(keeping.until([&] {
         ++keeping.number;
-        keeping.keeper.changed();
-        return keeping.keeper.figures().written >= 10;
+        keeping.keeper.on_changed();
+        return keeping.keeper.metrics().written >= 10;
     }));
     EXPECT_GE(keeping.loop.clock().now() - start, 9 * 20'000);
-    EXPECT_EQ(read().generation, 4 + keeping.keeper.figures().written);
+    EXPECT_EQ(read().generation, 4 + keeping.keeper.metrics().written);
     EXPECT_EQ(files(), 2u);
 }
 
 TEST_F(ListFolder, AConfirmedListIsWrittenAnewThoughNothingChanged) {
     Keeping keeping(path_);
-    keeping.keeper.begin_behind(0, 0);
+    keeping.keeper.start_after(0, 0);
     ASSERT_TRUE(keeping.until([&] {
-        keeping.keeper.confirmed();
-        return keeping.keeper.figures().written >= 3;
+        keeping.keeper.on_confirmed();
+        return keeping.keeper.metrics().written >= 3;
     }));
 }
 
@@ -288,24 +289,24 @@
     getrlimit(RLIMIT_FSIZE, &before);
     const rlimit full{0, before.rlim_max};
     setrlimit(RLIMIT_FSIZE, &full);  // each write from here on fails
-    keeping.keeper.begin_behind(1, 1);
+    keeping.keeper.start_after(1, 1);
     keeping.number = 2;
-    keeping.keeper.changed();
-    const bool failed = keeping.until([&] { return keeping.keeper.figures().failed >= 3; });
+    keeping.keeper.on_changed();
+    const bool failed = keeping.until([&] { return keeping.keeper.metrics().failed >= 3; });
     setrlimit(RLIMIT_FSIZE, &before);
     ASSERT_TRUE(failed);
-    EXPECT_EQ(read().list->last_seq, 1);
-    ASSERT_TRUE(keeping.until([&] { return keeping.keeper.figures().written == 1; }));
-    EXPECT_EQ(read().list->last_seq, 2);
+    EXPECT_EQ(read().snapshot->last_sequence, 1);
+    ASSERT_TRUE(keeping.until([&] { return keeping.keeper.metrics().written == 1; }));
+    EXPECT_EQ(read().snapshot->last_sequence, 2);
     EXPECT_EQ(keeping.lines_with("saved list: written again"), 1);
 }
 
 TEST_F(ListFolder, AMissingFolderThatCantBeMadeCostsOneLine) {
     std::ofstream(path_ + "/file") << "no folder";
     Keeping keeping(path_ + "/file/list");
-    keeping.keeper.begin_behind(0, 0);
-    keeping.keeper.changed();
-    ASSERT_TRUE(keeping.until([&] { return keeping.keeper.figures().failed >= 4; }));
+    keeping.keeper.start_after(0, 0);
+    keeping.keeper.on_changed();
+    ASSERT_TRUE(keeping.until([&] { return keeping.keeper.metrics().failed >= 4; }));
     EXPECT_EQ(keeping.lines_with("saved list: not written"), 1);
 }
 
@@ -314,8 +315,8 @@
 TEST_F(ListFolder, ADiskThatHangsHoldsNobodyUp) {
     ASSERT_EQ(mkfifo((path_ + "/list-unfinished.tmp").c_str(), 0600), 0);
     Keeping keeping(path_);
-    keeping.keeper.begin_behind(0, 0);
-    keeping.keeper.changed();
+    keeping.keeper.start_after(0, 0);
+    keeping.keeper.on_changed();
     int turns = 0;
     const Micros start = keeping.loop.clock().now();
     EXPECT_TRUE(keeping.until([&] { return ++turns > 50; }));
@@ -324,20 +325,20 @@
     const int reader =
         ::open((path_ + "/list-unfinished.tmp").c_str(), O_RDONLY | O_NONBLOCK);  // it wakes up
     std::filesystem::remove(path_ + "/list-unfinished.tmp");
-    EXPECT_TRUE(keeping.until([&] { return keeping.keeper.figures().written > 0; }));
+    EXPECT_TRUE(keeping.until([&] { return keeping.keeper.metrics().written > 0; }));
     ::close(reader);
 }
 
 TEST_F(ListFolder, AFolderIsReadAsideAndOnce) {
     put(3, list_of(3));
-    Loading loading(path_, kNames, "school", wall());
+    SnapshotLoader loading(path_, kNames, "school", wall());
     const auto found = loading.take(std::chrono::seconds(20));
     ASSERT_TRUE(found);
-    EXPECT_EQ(found->list->last_seq, 3);
-    EXPECT_EQ(found->lock->fault(), "");
-    EXPECT_NE(base::FolderLock(path_).fault(),
+    EXPECT_EQ(found->snapshot->last_sequence, 3);
+    EXPECT_EQ(found->lock->error(), "");
+    EXPECT_NE(base::DirectoryLock(path_).error(),
               "");  // locked before anything is written, however slow the disk
     EXPECT_FALSE(loading.take(std::chrono::milliseconds(0)));
 }
 
-}  // namespace sumackeel::saved_list
+}  // namespace sumackeel::endpoint_snapshot
--- /dev/null
+++ b/tests/endpoints/watch_sources_test.cpp
@@ -0,0 +1,161 @@
+// Several change logs: order, waits, and which is believed.
+#include "endpoints/watch_sources.h"
+
+#include <gtest/gtest.h>
+
+namespace sumackeel::endpoints {
+namespace {
+
+using base::kSecond;
+using Kind = WatchSources::Step::Kind;
+using State = WatchSources::State;
+
+WatchOptions several(int follow = 1) {
+    WatchOptions set;
+    set.longest_wait = 5 * kSecond;
+    set.jitter = 0.5;
+    set.follow = follow;
+    set.prove = true;
+    return set;
+}
+
+std::vector<std::size_t> called(const std::vector<WatchSources::Step>& steps) {
+    std::vector<std::size_t> all;
+    for (const auto& step : steps)
+        if (step.kind == Kind::call) all.push_back(step.source);
+    return all;
+}
+
+void follow(WatchSources& sources, std::size_t source, Micros now, std::int64_t newest) {
+    sources.on_connected(source, now);
+    sources.on_data(source, now);
+    sources.on_event(source, newest, newest, now);
+}
+
+using List = std::vector<std::size_t>;
+
+}  // namespace
+
+TEST(Sources, OneIsCalledAgainAfterAShortFixedWait) {
+    WatchSources sources(1, {}, 1);
+    EXPECT_EQ(called(sources.next_steps(0, 3)), List{0});
+    sources.on_connected(0, 10);
+    EXPECT_TRUE(sources.on_data(0, 20));  // the only one is proven with its first byte
+    for (int i = 0; i < 20; ++i) {
+        const Micros at = (i + 1) * kSecond;
+        sources.on_disconnected(0, at, "closed");
+        EXPECT_TRUE(sources.next_steps(at + 99'999, 3).empty());
+        const auto steps = sources.next_steps(at + 100'000, 3);
+        ASSERT_EQ(called(steps), List{0});
+        EXPECT_EQ(steps[0].behind, 3);
+    }
+}
+
+TEST(Sources, TheNextInOrderIsCalledWhenTheFirstFails) {
+    WatchSources sources(3, several(), 1);
+    EXPECT_EQ(called(sources.next_steps(0, 5)), List{0});
+    EXPECT_EQ(*sources.next_deadline(), 0);  // those at rest may be called at any time
+    sources.on_disconnected(0, 1000, "refused");
+    EXPECT_EQ(called(sources.next_steps(1000, 5)), List{1});
+    const auto late =
+        sources.next_steps(1000 + kSecond + 1, 5);  // no answer in time: dropped, both others are called
+    EXPECT_EQ(late[0].kind, Kind::drop);
+    EXPECT_EQ(late[0].source, 1u);
+}
+
+// Guards: a log that lags behind and only says that it lives would keep an old list for current.
+TEST(Sources, OneThatLagsBehindIsNotProvenAndTheNextIsFollowedToo) {
+    WatchSources sources(2, several(), 1);
+    const auto steps = sources.next_steps(0, 50);
+    EXPECT_EQ(steps[0].behind, 49);  // one that holds 50 has to tell it again
+    sources.on_connected(0, 10);
+    EXPECT_FALSE(sources.on_data(0, 20));
+    EXPECT_EQ(called(sources.next_steps(30, 50)), List{1});
+    sources.on_connected(1, 40);
+    EXPECT_FALSE(sources.on_data(1, 50));
+    EXPECT_EQ(sources.on_event(1, 50, 50, 60), WatchSources::EventResult::duplicate);
+    EXPECT_TRUE(sources.on_data(1, 70));
+    EXPECT_FALSE(sources.on_data(0, 80));
+    EXPECT_EQ(sources.on_event(0, 51, 50, 90), WatchSources::EventResult::apply);  // it caught up
+    EXPECT_TRUE(sources.on_data(0, 100));
+    const auto back = sources.next_steps(110, 51);  // the first in order is enough again
+    ASSERT_EQ(back.size(), 1u);
+    EXPECT_EQ(back[0].kind, Kind::drop);
+    EXPECT_EQ(back[0].source, 1u);
+}
+
+// Guards: one that was current when it was called and then stopped growing still says each second that it
+// lives.
+TEST(Sources, OneThatFallsBehindLaterIsNoLongerProven) {
+    WatchSources sources(2, several(2), 1);
+    EXPECT_EQ(called(sources.next_steps(0, 5)), (List{0, 1}));
+    follow(sources, 0, 10, 5);
+    follow(sources, 1, 10, 5);
+    EXPECT_EQ(sources.on_event(1, 6, 5, kSecond), WatchSources::EventResult::apply);
+    EXPECT_TRUE(sources.on_data(0, kSecond + 1));  // they may be a little apart
+    EXPECT_TRUE(sources.on_data(0, 3 * kSecond - 1));
+    EXPECT_FALSE(sources.on_data(0, 3 * kSecond));
+    EXPECT_TRUE(sources.on_data(1, 3 * kSecond));
+    EXPECT_EQ(sources.on_event(0, 6, 6, 4 * kSecond), WatchSources::EventResult::duplicate);
+    EXPECT_TRUE(sources.on_data(0, 4 * kSecond));
+}
+
+TEST(Sources, OneThatGoesBackIsNotBelieved) {
+    WatchSources sources(2, several(), 1);
+    sources.next_steps(0, 50);
+    follow(sources, 0, 10, 50);
+    EXPECT_EQ(sources.on_event(0, 51, 50, 20), WatchSources::EventResult::apply);
+    EXPECT_EQ(sources.on_event(0, 51, 51, 30), WatchSources::EventResult::duplicate);  // written twice
+    EXPECT_EQ(sources.on_event(0, 12, 51, 40), WatchSources::EventResult::went_back);
+    EXPECT_EQ(sources.on_event(0, 13, 51, 50), WatchSources::EventResult::duplicate);  // said once
+    EXPECT_TRUE(sources.health()[0].went_back);
+}
+
+// Guards: discovery that flaps each second must not be called ten times a second by every proxy at once.
+TEST(Sources, FlappingWaitsGrowWithJitterAndASteadyConnectionEndsThem) {
+    WatchSources sources(1, several(), 7);
+    Micros now = 0, last_wait = 0;
+    for (int flaps = 0; flaps < 10; ++flaps) {
+        ASSERT_EQ(called(sources.next_steps(now, 5)), List{0});
+        follow(sources, 0, now, 5);
+        now += kSecond;
+        sources.on_disconnected(0, now, "closed");
+        last_wait = *sources.next_deadline() - now;
+        now = *sources.next_deadline();
+    }
+    EXPECT_GE(last_wait, 2'500'000);
+    EXPECT_LE(last_wait, 5 * kSecond);
+    EXPECT_EQ(sources.health()[0].failures, 10);
+    sources.next_steps(now, 5);
+    follow(sources, 0, now, 5);
+    for (int s = 1; s <= 11; ++s) sources.on_data(0, now + s * kSecond);
+    EXPECT_EQ(sources.health()[0].failures, 0);
+    WatchSources other(1, several(), 8);
+    other.next_steps(0, 5), other.on_disconnected(0, 0, "x"), other.next_steps(*other.next_deadline(), 5);
+    WatchSources third(1, several(), 9);
+    third.next_steps(0, 5), third.on_disconnected(0, 0, "x"), third.next_steps(*third.next_deadline(), 5);
+    EXPECT_NE(other.health()[0].rest_until, third.health()[0].rest_until);  // not all at once
+}
+
+TEST(Sources, ASilentOneIsDropped) {
+    WatchSources sources(1, {}, 1);
+    sources.next_steps(0, 0);
+    sources.on_connected(0, 0);
+    sources.on_data(0, 0);
+    EXPECT_TRUE(sources.next_steps(2'500'000, 0).empty());
+    const auto steps = sources.next_steps(2'500'001, 0);
+    ASSERT_EQ(steps.size(), 1u);
+    EXPECT_EQ(steps[0].kind, Kind::drop);
+    EXPECT_EQ(sources.health()[0].last_fault, "fell silent");
+}
+
+TEST(Sources, AnotherListIsCalledAtOnce) {
+    WatchSources sources(1, several(), 1);
+    for (Micros now = 0; now < 100; ++now)
+        sources.next_steps(now, 5), sources.on_disconnected(0, now, "refused");
+    sources.replace(2);
+    EXPECT_EQ(called(sources.next_steps(200, 5)), List{0});
+    EXPECT_EQ(sources.health()[0].state, State::calling);
+}
+
+}  // namespace sumackeel::endpoints
--- a/tests/expect/expect_test.cpp
+++ b/tests/expectations/expect_test.cpp
@@ -8,10 +8,10 @@
 #include <sstream>
 
 #include "config/keys.h"
-#include "expect/case.h"
-#include "expect/compare.h"
+#include "expectations/counterexample_file.h"
+#include "expectations/fleet_diff.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 namespace {
 
 // Two schools at two hubs: school-1 at the coast, school-2 at the hinterland; two parents at each hub.
@@ -28,38 +28,38 @@
  "limits":{"cancel":true,"connect_timeout":400000,"most_tries":8,"retry_after":true,"max_retry_after":500000,
  "second_copies":true},"report":{"via":"piggyback"},"weights":"nominal"})";
 
-config::Placed placed(const std::string& name, int zone, int kind) {
-    config::Placed one;
+config::LocatedEndpoint placed(const std::string& name, int zone, int kind) {
+    config::LocatedEndpoint one;
     one.address = "127.0.0.1:1";
-    one.entry.cache = name;
-    one.entry.zone = zone;
-    one.entry.kind = kind;
-    one.entry.weight = kind == 0 ? 8 : 20;
+    one.endpoint.name = name;
+    one.endpoint.zone = zone;
+    one.endpoint.kind = kind;
+    one.endpoint.weight = kind == 0 ? 8 : 20;
     return one;
 }
 
-Fleet fleet_of(int boxes = 3) {
-    config::Change list;
-    list.has_fleet = list.whole = true;
+FleetModel fleet_of(int boxes = 3) {
+    config::WatchEvent list;
+    list.has_endpoints = list.is_full_list = true;
     for (int school = 1; school <= 2; ++school)
         for (int i = 0; i < boxes; ++i)
-            list.members.push_back(
+            list.endpoints.push_back(
                 placed("s" + std::to_string(school) + "-" + std::to_string(i), school + 1, 0));
-    for (const char* name : {"p-coast-1", "p-coast-2"}) list.members.push_back(placed(name, 0, 1));
-    for (const char* name : {"p-inland-1", "p-inland-2"}) list.members.push_back(placed(name, 1, 1));
-    list.members.push_back(placed("library", 0, 2));
+    for (const char* name : {"p-coast-1", "p-coast-2"}) list.endpoints.push_back(placed(name, 0, 1));
+    for (const char* name : {"p-inland-1", "p-inland-2"}) list.endpoints.push_back(placed(name, 1, 1));
+    list.endpoints.push_back(placed("library", 0, 2));
     return make_fleet(kSettings, {list});
 }
 
-Suite suite_of(const std::string& text, const Fleet& fleet) {
+Suite suite_of(const std::string& text, const FleetModel& fleet) {
     return read_suite(config::read_toml(text, "e.toml"), "e.toml", fleet);
 }
 
 std::vector<std::string> complaints(const std::string& text) {
-    const Fleet fleet = fleet_of();
+    const FleetModel fleet = fleet_of();
     try {
         suite_of(text, fleet);
-    } catch (const config::Complaints& all) {
+    } catch (const config::ValidationErrors& all) {
         return all.lines;
     }
     return {};
@@ -74,11 +74,11 @@
     "[worlds]\nmost_pairs = 4\n";
 
 struct Ran {
-    std::vector<World> worlds;
-    std::vector<Tally> tallies;
+    std::vector<Scenario> worlds;
+    std::vector<Counts> tallies;
 };
-Ran run_all(const Fleet& fleet, const Suite& suite, unsigned order_seed = 0) {
-    Ran ran{enumerate(fleet, suite), std::vector<Tally>(suite.expectations.size())};
+Ran run_all(const FleetModel& fleet, const Suite& suite, unsigned order_seed = 0) {
+    Ran ran{enumerate(fleet, suite), std::vector<Counts>(suite.expectations.size())};
     std::vector<std::size_t> order(ran.worlds.size());
     for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
     if (order_seed) std::shuffle(order.begin(), order.end(), std::mt19937(order_seed));
@@ -89,7 +89,7 @@
     return ran;
 }
 
-Holds verdict(const Suite& suite, const Ran& ran, std::size_t place = 0) {
+Conclusion verdict(const Suite& suite, const Ran& ran, std::size_t place = 0) {
     return verdict_of(suite.expectations[place], ran.tallies[place]).holds;
 }
 
@@ -161,7 +161,7 @@
 // ---- the checker ----
 
 TEST(ExpectCheck, WhatTheRouterKeepsToHolds) {
-    const Fleet fleet = fleet_of();
+    const FleetModel fleet = fleet_of();
     const Suite suite = suite_of(
         kTraffic + expectation("never_twice = true\nclass = [\"enrol\"]", "enrol once") +
             expectation("attempts_at_most = 8", "tries") + expectation("no_new_work_after = 0", "drains") +
@@ -176,7 +176,7 @@
     EXPECT_GT(ran.worlds.size(), 60u);
     for (std::size_t i = 0; i < suite.expectations.size(); ++i) {
         if (suite.expectations[i].name == "own school") continue;  // looked at below
-        EXPECT_EQ(verdict(suite, ran, i), Holds::yes)
+        EXPECT_EQ(verdict(suite, ran, i), Conclusion::yes)
             << suite.expectations[i].name << ": "
             << (ran.tallies[i].first
                     ? ran.worlds[ran.tallies[i].first->world].title + ": " + ran.tallies[i].first->what
@@ -186,7 +186,7 @@
 
 // Guards: the verdict must not depend on the order of worlds or on what ran before.
 TEST(ExpectCheck, TheOrderOfWorldsMakesNoDifference) {
-    const Fleet fleet = fleet_of(2);
+    const FleetModel fleet = fleet_of(2);
     const Suite suite =
         suite_of(kTraffic + expectation("share_at_least = { hub = \"coast\", share = 0.01 }", "a") +
                      expectation("fails_over_within = 30", "b"),
@@ -210,33 +210,33 @@
         "[\"video\"]\n"
         "school = [\"school-2\"]\nnever_fills_from = { box = [\"p-coast-1\", \"p-coast-2\"] }\n"
         "while = { hub = \"hinterland\", all = \"up\" }\n";
-    const Fleet sound = fleet_of();
+    const FleetModel sound = fleet_of();
     const Suite suite = suite_of(text, sound);
     const Ran before = run_all(sound, suite);
     // The router prefers the near hub but does not shun the far one: this is what the checker has to find
     // out.
     const auto& tally = before.tallies[0];
     EXPECT_GT(tally.applied, 1000u);
-    EXPECT_EQ(verdict(suite, before), tally.broken ? Holds::broken : Holds::yes);
+    EXPECT_EQ(verdict(suite, before), tally.broken ? Conclusion::broken : Conclusion::yes);
 }
 
 TEST(ExpectCheck, SharesAreJudgedWithTheirConfidence) {
     Expectation one;
     one.rule = Rule::share_at_most;
     one.limit = 0.3;
-    Tally tally;
+    Counts tally;
     tally.applied = 1000, tally.counted = 250;
-    EXPECT_EQ(verdict_of(one, tally).holds, Holds::yes);
+    EXPECT_EQ(verdict_of(one, tally).holds, Conclusion::yes);
     tally.counted = 290;  // within the error of so few
-    EXPECT_EQ(verdict_of(one, tally).holds, Holds::undecided);
+    EXPECT_EQ(verdict_of(one, tally).holds, Conclusion::undecided);
     tally.counted = 400;
-    EXPECT_EQ(verdict_of(one, tally).holds, Holds::broken);
+    EXPECT_EQ(verdict_of(one, tally).holds, Conclusion::broken);
     tally.applied = 0;
-    EXPECT_EQ(verdict_of(one, tally).holds, Holds::never_applied);
+    EXPECT_EQ(verdict_of(one, tally).holds, Conclusion::never_applied);
     // Against the textbook's exact bounds for 5 of 50 at 95%: 0.0333 to 0.2181.
     one.confidence = 0.95;
     tally.applied = 50, tally.counted = 5;
-    const Verdict known = verdict_of(one, tally);
+    const Evaluation known = verdict_of(one, tally);
     EXPECT_NEAR(known.bounds.lower, 0.0333, 0.0001);
     EXPECT_NEAR(known.bounds.upper, 0.2181, 0.0001);
 }
@@ -245,39 +245,39 @@
 
 // Guards: a counterexample that nobody can read. This one needs one box that dies and one request.
 TEST(ExpectShrink, TheSmallestIsFoundAndPlaysFromItsFile) {
-    const Fleet fleet = fleet_of();
+    const FleetModel fleet = fleet_of();
     const Suite suite =
         suite_of(kTraffic + expectation("attempts_at_most = 1\nschool = [\"school-1\"]"), fleet);
-    World world;
+    Scenario world;
     world.title = "many troubles";
-    world.school = 2;
+    world.zone = 2;
     world.seed = 5;
     for (const char* name : {"s1-0", "s1-1", "s2-0", "p-coast-1", "p-inland-2"})
-        world.happenings.push_back({0, Trouble::dies, fleet.find(name)});
-    world.happenings.push_back({1'000'000, Trouble::drain, fleet.find("s1-2")});
-    std::stable_sort(world.happenings.begin(), world.happenings.end(),
+        world.faults.push_back({0, FaultKind::dies, fleet.find(name)});
+    world.faults.push_back({1'000'000, FaultKind::drain, fleet.find("s1-2")});
+    std::stable_sort(world.faults.begin(), world.faults.end(),
                      [](const auto& a, const auto& b) { return a.at < b.at; });
     const auto small = shrink(world, fleet, suite, 0);
     ASSERT_TRUE(small);
-    EXPECT_EQ(small->world.happenings.size(), 1u);
+    EXPECT_EQ(small->world.faults.size(), 1u);
     EXPECT_EQ(small->asks.size(), 1u);
     EXPECT_NE(small->broken.what.find("took"), std::string::npos);
     const std::string file = write_case(fleet, suite.expectations[0], *small);
     const Case read = read_case(file, "c.json");
     EXPECT_EQ(read.asks, small->asks);
-    EXPECT_EQ(read.world.happenings, small->world.happenings);
-    Judge judge(read.fleet, read.suite.expectations, read.world);
-    play(read.world, read.fleet, read.asks, judge);
+    EXPECT_EQ(read.world.faults, small->world.faults);
+    Evaluator judge(read.fleet, read.suite.expectations, read.world);
+    simulate(read.world, read.fleet, read.asks, judge);
     ASSERT_TRUE(judge.tallies()[0].first);
     EXPECT_EQ(judge.tallies()[0].first->at, small->broken.at);
     EXPECT_EQ(judge.tallies()[0].first->what, small->broken.what);
 }
 
 TEST(ExpectShrink, FilesThatAreNoneAreRefusedInWords) {
-    const Fleet fleet = fleet_of();
+    const FleetModel fleet = fleet_of();
     const Suite suite = suite_of(kTraffic + expectation("attempts_at_most = 1"), fleet);
     Counterexample example;
-    example.world.school = 2;
+    example.world.zone = 2;
     const std::string good = write_case(fleet, suite.expectations[0], example);
     EXPECT_NO_THROW(read_case(good, "c"));
     for (const auto& [what, with] :
@@ -306,13 +306,13 @@
 TEST(ExpectShrink, KeptCasesHold) {
     int cases = 0;
     for (const auto& file :
-         std::filesystem::directory_iterator(std::string(PROJECT_ROOT) + "/tests/expect/cases")) {
+         std::filesystem::directory_iterator(std::string(PROJECT_ROOT) + "/tests/expectations/cases")) {
         std::ifstream stream(file.path());
         std::stringstream text;
         text << stream.rdbuf();
         const Case one = read_case(text.str(), file.path().string());
-        Judge judge(one.fleet, one.suite.expectations, one.world);
-        play(one.world, one.fleet, one.asks, judge);
+        Evaluator judge(one.fleet, one.suite.expectations, one.world);
+        simulate(one.world, one.fleet, one.asks, judge);
         EXPECT_GT(judge.tallies()[0].applied, 0u) << file.path();
         EXPECT_EQ(judge.tallies()[0].broken, 0u) << file.path() << ": " << judge.tallies()[0].first->what;
         ++cases;
@@ -323,67 +323,73 @@
 // ---- the world's model ----
 
 namespace {
-class Counter : public Watcher {
+class Counter : public SimulationObserver {
   public:
-    void decided(const Ask&, const Decision& made, const std::vector<ToldState>&) override {
+    void on_decision(const SimulatedRequest&, const Decision& made,
+                     const std::vector<NotifiedStateSince>&) override {
         ++to[made.target];
     }
-    void ended(const Ask&, const RequestEnd& end, const std::vector<ToldState>&) override { ++how[end.how]; }
+    void on_request_finished(const SimulatedRequest&, const RequestResult& end,
+                             const std::vector<NotifiedStateSince>&) override {
+        ++how[end.outcome];
+    }
     std::map<int, int> to;
-    std::map<Ended, int> how;
+    std::map<RequestOutcome, int> how;
 };
 }  // namespace
 
 TEST(ExpectWorld, EachRequestEndsOnceAndAHealthyFleetServes) {
-    const Fleet fleet = fleet_of();
+    const FleetModel fleet = fleet_of();
     const Suite suite = suite_of(kTraffic + expectation("attempts_at_most = 8"), fleet);
-    for (const World& world : enumerate(fleet, suite)) {
+    for (const Scenario& world : enumerate(fleet, suite)) {
         const auto asks = traffic_of(world, fleet, suite.traffic);
         Counter counter;
-        play(world, fleet, asks, counter);
+        simulate(world, fleet, asks, counter);
         int ended = 0;
         for (const auto& [how, count] : counter.how) ended += count;
         ASSERT_EQ(ended, static_cast<int>(asks.size())) << world.title;
-        if (world.happenings.empty()) {
-            EXPECT_GT(counter.how[Ended::served], static_cast<int>(asks.size() * 90 / 100)) << world.title;
+        if (world.faults.empty()) {
+            EXPECT_GT(counter.how[RequestOutcome::served], static_cast<int>(asks.size() * 90 / 100))
+                << world.title;
         }
     }
 }
 
 TEST(ExpectWorld, ABoxThatDiedGetsNothingOnceToldAndComesBack) {
-    const Fleet fleet = fleet_of();
+    const FleetModel fleet = fleet_of();
     const Suite suite = suite_of(kTraffic + expectation("attempts_at_most = 8"), fleet);
-    World world;
-    world.school = 2;
+    Scenario world;
+    world.zone = 2;
     world.seed = 3;
     const int box = fleet.find("s1-0");
-    world.happenings = {{0, Trouble::drain, box}};
+    world.faults = {{0, FaultKind::drain, box}};
     const auto asks = traffic_of(world, fleet, suite.traffic);
     Counter drained;
-    play(world, fleet, asks, drained);
+    simulate(world, fleet, asks, drained);
     EXPECT_EQ(drained.to[box], 0);
-    world.happenings = {{0, Trouble::dies, box}, {1'000'000, Trouble::back_cold, box}};
+    world.faults = {{0, FaultKind::dies, box}, {1'000'000, FaultKind::back_cold, box}};
     Counter back;
-    play(world, fleet, asks, back);
+    simulate(world, fleet, asks, back);
     EXPECT_GT(back.to[box], 0);
 }
 
 TEST(ExpectCompare, ANewBoxMovesItsShareAndNoMore) {
-    const Fleet before = fleet_of(3), after = fleet_of(4);
+    const FleetModel before = fleet_of(3), after = fleet_of(4);
     Traffic traffic;
     traffic.mix = {1, 0, 0};
     traffic.size_kb = {400, 400, 400};
     traffic.seconds = 20;
     traffic.per_s = 30;
-    const Difference difference = compare(before, after, traffic, 1);
+    const FleetDiff difference = compare(before, after, traffic, 1);
     ASSERT_EQ(difference.moved.size(), 2u);
     EXPECT_EQ(difference.only_new, (Lines{"s1-3", "s2-3"}));
-    for (const Moved& moved : difference.moved) {
+    for (const RoutingShift& moved : difference.moved) {
         EXPECT_GT(moved.copies.share, 0.1);  // a quarter by the hash
         EXPECT_LT(moved.copies.share, 0.45);
         EXPECT_LE(moved.copies.lower, moved.copies.share);
     }
-    for (const Moved& moved : compare(before, before, traffic, 1).moved) EXPECT_EQ(moved.to_other_box, 0u);
+    for (const RoutingShift& moved : compare(before, before, traffic, 1).moved)
+        EXPECT_EQ(moved.to_other_box, 0u);
 }
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/tests/expect/fleets.h
+++ b/tests/expectations/fleets.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "expect/judge.h"
+#include "expectations/evaluator.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 
 struct Shape {
     int schools = 3, boxes = 4, parents_per_hub = 2;
@@ -28,7 +28,7 @@
     double pace = 9100;
     bool direct = true;
     int parent_kind = 1, origin_kind = 2;
-    std::vector<config::Placed> members;
+    std::vector<config::LocatedEndpoint> members;
 
     explicit Sketch(Shape s = {}) : shape(s) {
         for (int school = 0; school < s.schools; ++school) {
@@ -45,21 +45,21 @@
         add("library", 0, 2, 20);
     }
     void add(const std::string& name, int zone, int kind, double weight) {
-        config::Placed one;
+        config::LocatedEndpoint one;
         one.address = "127.0.0.1:1";
-        one.entry.cache = name;
-        one.entry.zone = zone;
-        one.entry.kind = kind;
-        one.entry.weight = weight;
+        one.endpoint.name = name;
+        one.endpoint.zone = zone;
+        one.endpoint.kind = kind;
+        one.endpoint.weight = weight;
         members.push_back(std::move(one));
     }
-    config::Placed& at(const std::string& name) {
-        for (config::Placed& member : members)
-            if (member.entry.cache == name) return member;
+    config::LocatedEndpoint& at(const std::string& name) {
+        for (config::LocatedEndpoint& member : members)
+            if (member.endpoint.name == name) return member;
         throw std::logic_error("no member " + name);
     }
     void remove(const std::string& start) {
-        std::erase_if(members, [&](const auto& member) { return member.entry.cache.starts_with(start); });
+        std::erase_if(members, [&](const auto& member) { return member.endpoint.name.starts_with(start); });
     }
 
     std::string settings() const {
@@ -85,12 +85,12 @@
             pace, uncached, parent_kind, fmt::join(zone_hub, ","), 2 * shape.schools, quoted(zones),
             most_tries);
     }
-    Fleet fleet() const {
-        config::Change list;
-        list.has_fleet = list.whole = true;
-        list.members = members;
+    FleetModel fleet() const {
+        config::WatchEvent list;
+        list.has_endpoints = list.is_full_list = true;
+        list.endpoints = members;
         return make_fleet(settings(), {list});
     }
 };
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/tests/expect/mistakes_test.cpp
+++ b/tests/expectations/mistakes_test.cpp
@@ -2,13 +2,13 @@
 // the language with a case that holds and one that breaks.
 #include <gtest/gtest.h>
 
-#include "expect/case.h"
+#include "expectations/counterexample_file.h"
 #include "fleets.h"
 
-namespace sumackeel::expect {
+namespace sumackeel::expectations {
 namespace {
 
-Suite suite_of(const std::string& text, const Fleet& fleet) {
+Suite suite_of(const std::string& text, const FleetModel& fleet) {
     return read_suite(config::read_toml(text, "e.toml"), "e.toml", fleet);
 }
 
@@ -69,27 +69,27 @@
 };
 
 // World after world until something is seen to be wrong; `worlds` at most.
-Flagged first_flag(const Fleet& fleet, const std::string& text, std::size_t worlds = SIZE_MAX) {
+Flagged first_flag(const FleetModel& fleet, const std::string& text, std::size_t worlds = SIZE_MAX) {
     Suite suite;
     try {
         suite = suite_of(text, fleet);
-    } catch (const config::Complaints& all) {
+    } catch (const config::ValidationErrors& all) {
         return {all.lines.front()};
     }
-    std::vector<Tally> tallies(suite.expectations.size());
+    std::vector<Counts> tallies(suite.expectations.size());
     const auto all = enumerate(fleet, suite);
-    for (const World& world : all) {
+    for (const Scenario& world : all) {
         if (static_cast<std::size_t>(world.number) >= worlds) break;
         const Outcome outcome = run_world(world, fleet, suite);
         for (std::size_t i = 0; i < tallies.size(); ++i) {
             tallies[i].add(outcome.tallies[i]);
-            if (verdict_of(suite.expectations[i], tallies[i]).holds != Holds::broken) continue;
+            if (verdict_of(suite.expectations[i], tallies[i]).holds != Conclusion::broken) continue;
             Flagged flagged{suite.expectations[i].name, world.number, true};
             if (tallies[i].first) {
                 const auto small = shrink(all[tallies[i].first->world], fleet, suite, i);
                 const Case read = read_case(write_case(fleet, suite.expectations[i], *small), "case");
-                Judge judge(read.fleet, read.suite.expectations, read.world);
-                play(read.world, read.fleet, read.asks, judge);
+                Evaluator judge(read.fleet, read.suite.expectations, read.world);
+                simulate(read.world, read.fleet, read.asks, judge);
                 flagged.replays =
                     judge.tallies()[0].first && judge.tallies()[0].first->what == small->broken.what;
             }
@@ -99,7 +99,7 @@
     // What never came up is no pass: status 2, as on the command line.
     if (worlds == SIZE_MAX)
         for (std::size_t i = 0; i < tallies.size(); ++i)
-            if (verdict_of(suite.expectations[i], tallies[i]).holds == Holds::never_applied)
+            if (verdict_of(suite.expectations[i], tallies[i]).holds == Conclusion::never_applied)
                 return {suite.expectations[i].name + " never applied"};
     return {};
 }
@@ -111,21 +111,21 @@
 
 const std::vector<Mistake>& mistakes() {
     static const std::vector<Mistake> all{
-        {"a box is listed under another school", [](Sketch& s) { s.at("s1-2").entry.zone = 4; }},
+        {"a box is listed under another school", [](Sketch& s) { s.at("s1-2").endpoint.zone = 4; }},
         {"two boxes are swapped between schools",
-         [](Sketch& s) { std::swap(s.at("s1-1").entry.zone, s.at("s2-1").entry.zone); }},
+         [](Sketch& s) { std::swap(s.at("s1-1").endpoint.zone, s.at("s2-1").endpoint.zone); }},
         {"a box is missing", [](Sketch& s) { s.remove("s3-4"); }},
-        {"a box is listed as a parent", [](Sketch& s) { s.at("s2-3").entry.kind = 1; }},
+        {"a box is listed as a parent", [](Sketch& s) { s.at("s2-3").endpoint.kind = 1; }},
         {"a parent is listed as a box of a school",
-         [](Sketch& s) { s.at("p-coast-1").entry.kind = 0, s.at("p-coast-1").entry.zone = 3; }},
-        {"a box has ten times its weight", [](Sketch& s) { s.at("s1-1").entry.weight = 80; }},
-        {"a box has no weight to speak of", [](Sketch& s) { s.at("s2-2").entry.weight = 0.2; }},
+         [](Sketch& s) { s.at("p-coast-1").endpoint.kind = 0, s.at("p-coast-1").endpoint.zone = 3; }},
+        {"a box has ten times its weight", [](Sketch& s) { s.at("s1-1").endpoint.weight = 80; }},
+        {"a box has no weight to speak of", [](Sketch& s) { s.at("s2-2").endpoint.weight = 0.2; }},
         {"a box was left draining",
-         [](Sketch& s) { s.at("s3-1").entry.state = nettlethread::CacheState::draining; }},
+         [](Sketch& s) { s.at("s3-1").endpoint.state = routing::EndpointState::draining; }},
         {"the library is missing", [](Sketch& s) { s.remove("library"); }},
-        {"the library is listed as a parent", [](Sketch& s) { s.at("library").entry.kind = 1; }},
+        {"the library is listed as a parent", [](Sketch& s) { s.at("library").endpoint.kind = 1; }},
         {"the library was left draining",
-         [](Sketch& s) { s.at("library").entry.state = nettlethread::CacheState::draining; }},
+         [](Sketch& s) { s.at("library").endpoint.state = routing::EndpointState::draining; }},
         {"all parents are missing", [](Sketch& s) { s.remove("p-"); }},
         {"a school is missing", [](Sketch& s) { s.remove("s2-"); }},
         {"a stray box stands in a school", [](Sketch& s) { s.add("stray", 3, 0, 30); }},
@@ -150,19 +150,19 @@
 }  // namespace
 
 TEST(Mistakes, TheUnchangedConfigurationPasses) {
-    const Fleet fleet = Sketch().fleet();
+    const FleetModel fleet = Sketch().fleet();
     EXPECT_EQ(fleet.members.size(), 19u);
     const std::string text = term_suite();
     const Suite suite = suite_of(text, fleet);
-    std::vector<Tally> tallies(suite.expectations.size());
-    for (const World& world : enumerate(fleet, suite)) {
+    std::vector<Counts> tallies(suite.expectations.size());
+    for (const Scenario& world : enumerate(fleet, suite)) {
         const Outcome outcome = run_world(world, fleet, suite);
         for (std::size_t i = 0; i < tallies.size(); ++i) tallies[i].add(outcome.tallies[i]);
     }
     for (std::size_t i = 0; i < tallies.size(); ++i) {
-        const Verdict verdict = verdict_of(suite.expectations[i], tallies[i]);
-        EXPECT_EQ(verdict.holds, Holds::yes) << suite.expectations[i].name << ": " << verdict.text
-                                             << (tallies[i].first ? ", " + tallies[i].first->what : "");
+        const Evaluation verdict = verdict_of(suite.expectations[i], tallies[i]);
+        EXPECT_EQ(verdict.holds, Conclusion::yes) << suite.expectations[i].name << ": " << verdict.text
+                                                  << (tallies[i].first ? ", " + tallies[i].first->what : "");
     }
 }
 
@@ -214,7 +214,7 @@
 }  // namespace
 
 TEST(Rules, EachHasACaseThatHoldsAndOneThatBreaks) {
-    const Fleet fleet = Sketch({.schools = 2, .boxes = 2, .parents_per_hub = 1}).fleet();
+    const FleetModel fleet = Sketch({.schools = 2, .boxes = 2, .parents_per_hub = 1}).fleet();
     const std::string traffic = "[traffic]\nper_s = 20\nseconds = 3\n[worlds]\nmost_pairs = 0\nmost = 40\n";
     for (const RuleCase& one : rule_cases()) {
         for (const bool holds : {true, false}) {
@@ -223,11 +223,12 @@
             const std::string text = traffic + "[[expect]]\nname = \"n\"\nreason = \"r\"\n" + rule + "\n";
             const Suite suite = suite_of(text, fleet);
             EXPECT_EQ(std::string(name_of(suite.expectations[0].rule)), one.rule);
-            Tally tally;
-            for (const World& world : enumerate(fleet, suite))
+            Counts tally;
+            for (const Scenario& world : enumerate(fleet, suite))
                 tally.add(run_world(world, fleet, suite).tallies[0]);
-            const Verdict verdict = verdict_of(suite.expectations[0], tally);
-            EXPECT_EQ(verdict.holds, holds ? Holds::yes : Holds::broken) << rule << ": " << verdict.text;
+            const Evaluation verdict = verdict_of(suite.expectations[0], tally);
+            EXPECT_EQ(verdict.holds, holds ? Conclusion::yes : Conclusion::broken)
+                << rule << ": " << verdict.text;
         }
     }
 }
@@ -235,38 +236,38 @@
 // The rules that this module never breaks are broken here by hand, or a checker that says 'holds' to all
 // would pass.
 TEST(Rules, WhatTheModuleNeverDoesIsSeenToo) {
-    const Fleet fleet = Sketch({.schools = 1, .boxes = 2, .parents_per_hub = 1}).fleet();
+    const FleetModel fleet = Sketch({.schools = 1, .boxes = 2, .parents_per_hub = 1}).fleet();
     const Suite suite = suite_of(
         "[[expect]]\nname = \"a\"\nreason = \"r\"\nnever_twice = true\n"
         "[[expect]]\nname = \"b\"\nreason = \"r\"\nno_new_work_after = 2\n"
         "[[expect]]\nname = \"c\"\nreason = \"r\"\nkept_at_rank = 1\n",
         fleet);
-    World world;
-    world.school = 3;
-    Judge judge(fleet, suite.expectations, world);
-    std::vector<ToldState> told(fleet.members.size());
-    Ask enrol;
-    enrol.service = 2;
+    Scenario world;
+    world.zone = 3;
+    Evaluator judge(fleet, suite.expectations, world);
+    std::vector<NotifiedStateSince> told(fleet.members.size());
+    SimulatedRequest enrol;
+    enrol.class_index = 2;
     Decision decision;
     decision.target = fleet.find("s1-1");
     decision.source = fleet.find("library");
     decision.may_have_run = true;
     decision.attempt = 1;
-    told[decision.source] = {Told::draining, 0};
+    told[decision.source] = {NotifiedState::draining, 0};
     decision.at = 2'000'000;  // within the time
-    judge.decided(enrol, decision, told);
+    judge.on_decision(enrol, decision, told);
     EXPECT_EQ(judge.tallies()[0].broken, 1u);
     EXPECT_EQ(judge.tallies()[1].broken, 0u);
     decision.at = 2'000'001;
-    judge.decided(enrol, decision, told);
+    judge.on_decision(enrol, decision, told);
     EXPECT_EQ(judge.tallies()[1].broken, 1u);
-    Ask sheet;
-    sheet.service = 1;
+    SimulatedRequest sheet;
+    sheet.class_index = 1;
     decision.rank = 1;
-    judge.decided(sheet, decision, told);
+    judge.on_decision(sheet, decision, told);
     EXPECT_EQ(judge.tallies()[2].broken, 0u);
     decision.rank = 2;
-    judge.decided(sheet, decision, told);
+    judge.on_decision(sheet, decision, told);
     EXPECT_EQ(judge.tallies()[2].broken, 1u);
 }
 
@@ -274,7 +275,7 @@
 
 TEST(HardCases, AnExpectationThatOnlyTwoFailuresTogetherBreak) {
     // One parent at each hub: a video still comes from some parent with any one of them gone.
-    const Fleet fleet = Sketch({.schools = 1, .boxes = 2, .parents_per_hub = 1}).fleet();
+    const FleetModel fleet = Sketch({.schools = 1, .boxes = 2, .parents_per_hub = 1}).fleet();
     const std::string rule =
         "[[expect]]\nname = \"n\"\nreason = \"r\"\nclass = [\"video\", \"sheet\"]\n"
         "only_at = { kind = \"cache\" }\nwhile = { school = \"school-1\", some = \"up\" }\n";
@@ -282,7 +283,7 @@
     const Flagged single = first_flag(fleet, traffic + "[worlds]\nmost_pairs = 0\n" + rule, 30);
     const Suite pairs = suite_of(traffic + "[worlds]\nmost_pairs = 60\n" + rule, fleet);
     bool in_pairs = false;
-    for (const World& world : enumerate(fleet, pairs)) {
+    for (const Scenario& world : enumerate(fleet, pairs)) {
         if (in_pairs || world.title.find(" and ") == std::string::npos) continue;
         in_pairs = run_world(world, fleet, pairs).tallies[0].broken > 0;
     }
@@ -291,21 +292,22 @@
 }
 
 TEST(HardCases, ACheckThatNeverReachesItsCaseIsNoPass) {
-    const Fleet fleet =
+    const FleetModel fleet =
         Sketch({.schools = 1, .boxes = 1, .parents_per_hub = 1}).fleet();  // a school with one box
     const Suite suite = suite_of(
         "[traffic]\nper_s = 5\nseconds = 1\n[worlds]\nmost_pairs = 0\nmost = 1\n"
         "[[expect]]\nname = \"n\"\nreason = \"r\"\nattempts_at_most = 8\nwhile = { hub = \"coast\", all = "
         "\"gone\" }\n",
         fleet);
-    Tally tally;
-    for (const World& world : enumerate(fleet, suite)) tally.add(run_world(world, fleet, suite).tallies[0]);
-    EXPECT_EQ(verdict_of(suite.expectations[0], tally).holds, Holds::never_applied);
+    Counts tally;
+    for (const Scenario& world : enumerate(fleet, suite))
+        tally.add(run_world(world, fleet, suite).tallies[0]);
+    EXPECT_EQ(verdict_of(suite.expectations[0], tally).holds, Conclusion::never_applied);
 }
 
 // 300 boxes in 40 schools: worlds are bounded, and the first of them run.
 TEST(HardCases, AFleetOf300BoxesIsEnumeratedWithinItsBound) {
-    const Fleet fleet = Sketch({.schools = 40, .boxes = 8, .parents_per_hub = 4}).fleet();
+    const FleetModel fleet = Sketch({.schools = 40, .boxes = 8, .parents_per_hub = 4}).fleet();
     EXPECT_EQ(fleet.members.size(), 333u);
     const Suite suite = suite_of(
         "[traffic]\nper_s = 10\nseconds = 1\n[worlds]\nmost = 5000\nmost_pairs = 10\n"
@@ -317,4 +319,4 @@
         EXPECT_EQ(run_world(worlds[i], fleet, suite).tallies[0].broken, 0u);
 }
 
-}  // namespace sumackeel::expect
+}  // namespace sumackeel::expectations
--- a/tests/layout/floors.sh
+++ b/tests/layout/floors.sh
@@ -7,11 +7,11 @@
     case $1 in
         base) echo 0 ;;
         config) echo 1 ;;
-        nettlethread | membership | group | rollout | recovery | registry | expect | emulator | ops) echo 2 ;;  # pure: no I/O, no clock, no loop
+        routing | endpoints | cluster | rollout | recovery | kv_store | expectations | emulator | admin) echo 2 ;;  # pure: no I/O, no clock, no loop
         net) echo 3 ;;
-        core) echo 4 ;;
-        front_platform | front_signed | front_ops | upstream | feed | store | saved_list | peers) echo 5 ;;
-        daemon | sim) echo 6 ;;
+        core | cluster_transport) echo 4 ;;
+        platform_server | signed_url_server | admin_server | upstream | discovery | store | endpoint_snapshot | consensus | recovery_coordinator) echo 5 ;;
+        daemon | simulator_adapter) echo 6 ;;
         cli) echo 7 ;;
         *) echo unknown ;;
     esac
@@ -25,11 +25,11 @@
     for found in $(grep -HoE '^#include "[a-z_]+/' "$folder"/*.h "$folder"/*.cpp 2>/dev/null | sed 's/ //; s/:#include"/:/; s/\/$//'); do
         file=${found%%:*} to=${found#*:}
         [ "$to" != "$folder" ] || continue
-        # The module's public header (include/nettlethread) holds plain types that every floor may name.
-        if [ "$to" = nettlethread ]; then
-            grep -q '"nettlethread/[^"]*"' "$file" && [ "$folder" != nettlethread ] &&
-                grep '"nettlethread/' "$file" | grep -vq '"nettlethread/router.h"' &&
-                complain "src/$file: looks into the module"
+        # The routing library's public header (include/routing) holds plain types that every floor may name.
+        if [ "$to" = routing ]; then
+            grep -q '"routing/[^"]*"' "$file" && [ "$folder" != routing ] &&
+                grep '"routing/' "$file" | grep -vq '"routing/router.h"' &&
+                complain "src/$file: looks into the routing library"
             continue
         fi
         theirs=$(floor_of "$to")
@@ -44,7 +44,7 @@
     for file in "$folder"/*.h "$folder"/*.cpp; do
         [ -f "$file" ] && [ -n "$banned" ] || continue
         ! grep -qE "^#include <($banned)" "$file" || complain "src/$file: is to be pure"
-        [ "$mine" = 1 ] || ! grep -qE '"base/(clock|log|deadlines)\.h"' "$file" ||
+        [ "$mine" = 1 ] || ! grep -qE '"base/(clock|log|timer_queue)\.h"' "$file" ||
             complain "src/$file: has a clock or a log of its own"
     done
 done
--- a/tests/layout/floors_test.sh
+++ b/tests/layout/floors_test.sh
@@ -4,7 +4,7 @@
 floors=$(cd "$(dirname "$0")" && pwd)/floors.sh
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
-mkdir -p "$work/src/core" "$work/src/membership" "$work/src/upstream" "$work/src/feed"
+mkdir -p "$work/src/core" "$work/src/endpoints" "$work/src/upstream" "$work/src/discovery"
 try() { # file, line, whether it is sound
     echo "$2" > "$work/src/$1"
     if "$floors" "$work" >/dev/null; then got=sound; else got=broken; fi
@@ -12,12 +12,12 @@
     [ "$got" = "$3" ] || { echo "FAILED: $1 with '$2' is $got, not $3"; exit 1; }
 }
 try core/a.h '#include "net/loop.h"' sound
-try core/a.h '#include "feed/feed.h"' broken
-try feed/a.h '#include "upstream/pool.h"' broken
-try membership/a.h '#include "config/config.h"' sound
-try membership/a.h '#include "net/loop.h"' broken
-try membership/a.cpp '#include <fstream>' broken
-try membership/a.cpp '#include "base/clock.h"' broken
-try upstream/a.cpp '#include "nettlethread/router.h"' sound
-try upstream/a.cpp '#include "nettlethread/state.h"' broken
+try core/a.h '#include "discovery/discovery_watch.h"' broken
+try discovery/a.h '#include "upstream/connection_pool.h"' broken
+try endpoints/a.h '#include "config/config.h"' sound
+try endpoints/a.h '#include "net/loop.h"' broken
+try endpoints/a.cpp '#include <fstream>' broken
+try endpoints/a.cpp '#include "base/clock.h"' broken
+try upstream/a.cpp '#include "routing/router.h"' sound
+try upstream/a.cpp '#include "routing/state.h"' broken
 mkdir "$work/src/somewhere" && try somewhere/a.h '' broken
--- a/tests/layout/node_folders.sh
+++ b/tests/layout/node_folders.sh
@@ -7,7 +7,7 @@
 bad=0
 for folder in src/*/; do
     folder=${folder%/}
-    case $folder in src/sim | src/emulator) continue ;; esac
+    case $folder in src/simulator_adapter | src/emulator) continue ;; esac
     echo " $named " | grep -qF " $folder " || { echo "node lacks $folder"; bad=1; }
 done
 for name in $named; do
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 // Two schools of four and three, their hub with two parents.
-std::vector<Seen> world(const std::set<std::string>& out = {}) {
-    std::vector<Seen> all;
+std::vector<FleetMember> world(const std::set<std::string>& out = {}) {
+    std::vector<FleetMember> all;
     const auto add = [&](const char* name, const char* school, const char* hub, double weight) {
         all.push_back({.name = name,
-                       .school = school,
-                       .leans_on = hub,
+                       .zone = school,
+                       .parent_region = hub,
                        .weight = weight,
-                       .out = out.contains(name),
-                       .why = out.contains(name) ? "dead" : ""});
+                       .unavailable = out.contains(name),
+                       .unavailable_reason = out.contains(name) ? "dead" : ""});
     };
     for (const char* name : {"a1", "a2", "a3", "a4"}) add(name, "a", "coast", 8);
     for (const char* name : {"b1", "b2", "b3"}) add(name, "b", "valley", 8);
@@ -28,28 +28,31 @@
     return all;
 }
 
-Ask ask(const std::string& member, Rules rules = {}, const std::set<std::string>& out = {},
-        bool forced = false, Micros now = 0) {
-    return {.kind = Kind::pop_cache,
+LeaseRequest ask(const std::string& member, DisruptionBudget rules = {},
+                 const std::set<std::string>& out = {}, bool forced = false, Micros now = 0) {
+    return {.kind = MemberKind::pop_cache,
             .member = member,
-            .by = "n0",
+            .requested_by = "n0",
             .forced = forced,
             .now = now,
-            .rules = rules,
-            .world = world(out)};
+            .budget = rules,
+            .fleet = world(out)};
 }
-Back back(const std::string& member, Micros now = 0) {
-    return {Kind::pop_cache, member, "n0", now};
+LeaseReturn back(const std::string& member, Micros now = 0) {
+    return {MemberKind::pop_cache, member, "n0", now};
 }
 
-constexpr Rules kTwo{.school_out = 2, .school_share = 1, .fleet_out = 3, .between = 0};
+constexpr DisruptionBudget kTwo{.max_unavailable_in_zone = 2,
+                                .max_zone_weight_share = 1,
+                                .max_unavailable = 3,
+                                .min_interval_in_zone = 0};
 
 struct Case {
     const char* about;
     std::vector<std::string> out_by_lease;
     std::set<std::string> out_by_itself;
     const char* member;
-    Rules rules;
+    DisruptionBudget rules;
     const char* refused;  // part of the reason; empty: granted
 };
 
@@ -67,13 +70,19 @@
          {"b1"},
          {"b2"},
          "b3",
-         {.school_out = 9, .school_share = 1, .fleet_out = 9, .between = 0},
+         {.max_unavailable_in_zone = 9,
+          .max_zone_weight_share = 1,
+          .max_unavailable = 9,
+          .min_interval_in_zone = 0},
          "the last of b"},
         {"by weight",
          {"a1"},
          {},
          "a2",
-         {.school_out = 3, .school_share = 0.4, .fleet_out = 9, .between = 0},
+         {.max_unavailable_in_zone = 3,
+          .max_zone_weight_share = 0.4,
+          .max_unavailable = 9,
+          .min_interval_in_zone = 0},
          "by weight"},
         {"of all", {"a1", "a2"}, {"b1"}, "b2", kTwo, "3 of all may be out"},
         {"a hub while a school leans on it", {"a1"}, {}, "p1", {}, "lean"},
@@ -84,9 +93,9 @@
     for (const Case& one : cases) {
         State state;
         for (const std::string& member : one.out_by_lease)
-            ASSERT_EQ(state.apply(ask(member, kTwo)).how, How::granted) << one.about;
-        const Answer answer = state.apply(ask(one.member, one.rules, one.out_by_itself));
-        EXPECT_EQ(answer.how, *one.refused ? How::refused : How::granted)
+            ASSERT_EQ(state.apply(ask(member, kTwo)).outcome, Outcome::granted) << one.about;
+        const CommandResult answer = state.apply(ask(one.member, one.rules, one.out_by_itself));
+        EXPECT_EQ(answer.outcome, *one.refused ? Outcome::rejected : Outcome::granted)
             << one.about << ": " << answer.reason;
         EXPECT_NE(answer.reason.find(one.refused), std::string::npos) << one.about << ": " << answer.reason;
     }
@@ -96,36 +105,39 @@
     State state;
     EXPECT_EQ(state.apply(ask("a1")).number, 1U);
     EXPECT_EQ(state.apply(ask("a1")).number, 1U);
-    EXPECT_EQ(state.apply(back("a1")).how, How::ended);
-    EXPECT_EQ(state.apply(back("a1")).how, How::nothing);
+    EXPECT_EQ(state.apply(back("a1")).outcome, Outcome::returned);
+    EXPECT_EQ(state.apply(back("a1")).outcome, Outcome::none);
     EXPECT_EQ(state.apply(ask("a1")).number, 2U);
 }
 
 TEST(Rollout, TimeFromOnesReturnToTheNextOnesLeave) {
-    const Rules slow{.school_out = 1, .school_share = 1, .fleet_out = 9, .between = 10 * base::kSecond};
+    const DisruptionBudget slow{.max_unavailable_in_zone = 1,
+                                .max_zone_weight_share = 1,
+                                .max_unavailable = 9,
+                                .min_interval_in_zone = 10 * base::kSecond};
     State state;
     state.apply(ask("a1", slow));
     state.apply(back("a1", 100 * base::kSecond));
-    EXPECT_EQ(state.apply(ask("a2", slow, {}, false, 105 * base::kSecond)).how, How::refused);
-    EXPECT_EQ(state.apply(ask("b1", slow, {}, false, 105 * base::kSecond)).how, How::granted);
-    EXPECT_EQ(state.apply(ask("a2", slow, {}, false, 110 * base::kSecond)).how, How::granted);
+    EXPECT_EQ(state.apply(ask("a2", slow, {}, false, 105 * base::kSecond)).outcome, Outcome::rejected);
+    EXPECT_EQ(state.apply(ask("b1", slow, {}, false, 105 * base::kSecond)).outcome, Outcome::granted);
+    EXPECT_EQ(state.apply(ask("a2", slow, {}, false, 110 * base::kSecond)).outcome, Outcome::granted);
 }
 
 TEST(Rollout, ForceIsGrantedCountsAndIsOnRecord) {
     State state;
     state.apply(ask("a1"));
-    EXPECT_EQ(state.apply(ask("a2", {}, {}, true)).how, How::granted);
+    EXPECT_EQ(state.apply(ask("a2", {}, {}, true)).outcome, Outcome::granted);
     ASSERT_EQ(state.forced().size(), 1U);
     EXPECT_EQ(state.forced()[0].member, "a2");
-    EXPECT_EQ(state.apply(ask("a3", kTwo)).how, How::refused);
+    EXPECT_EQ(state.apply(ask("a3", kTwo)).outcome, Outcome::rejected);
 }
 
 TEST(Rollout, ALeaseOfOneThatTheListNoLongerNamesIsStillOut) {
     State state;
     state.apply(ask("a1"));
-    Ask next = ask("a2");
-    std::erase_if(next.world, [](const Seen& seen) { return seen.name == "a1"; });
-    EXPECT_EQ(state.apply(next).how, How::refused);
+    LeaseRequest next = ask("a2");
+    std::erase_if(next.fleet, [](const FleetMember& seen) { return seen.name == "a1"; });
+    EXPECT_EQ(state.apply(next).outcome, Outcome::rejected);
 }
 
 TEST(RolloutProperties, OverRandomHistoriesNoMoreAreOutThanTheRulesSayAndAllCopiesAgree) {
@@ -133,8 +145,8 @@
         std::mt19937_64 chance(seed);
         State state, copy;
         std::set<std::string> dead;
-        const std::vector<Seen> all = world();
-        Rules rules = kTwo;
+        const std::vector<FleetMember> all = world();
+        DisruptionBudget rules = kTwo;
         for (int step = 0; step < 120; ++step) {
             const std::string member = all[chance() % all.size()].name;
             std::string command;
@@ -144,7 +156,7 @@
                     if (!dead.insert(member).second) dead.erase(member);
                     continue;
                 case 1:
-                    rules.school_out = 1 + static_cast<int>(chance() % 3);
+                    rules.max_unavailable_in_zone = 1 + static_cast<int>(chance() % 3);
                     continue;
                 case 2:
                     command = encode(back(member, step));
@@ -162,12 +174,12 @@
             std::set<std::string> out = dead;
             for (const auto& [key, lease] : state.leases()) out.insert(key.second);
             std::map<std::string, int> of, out_of;
-            for (const Seen& seen : all) ++of[seen.school], out_of[seen.school] += out.contains(seen.name);
-            const std::string school = state.find(Kind::pop_cache, member)->school;
+            for (const FleetMember& seen : all) ++of[seen.zone], out_of[seen.zone] += out.contains(seen.name);
+            const std::string school = state.find(MemberKind::pop_cache, member)->zone;
             if (dead.contains(member)) continue;
-            ASSERT_LE(out_of[school], rules.school_out) << "seed " << seed;
+            ASSERT_LE(out_of[school], rules.max_unavailable_in_zone) << "seed " << seed;
             ASSERT_LT(out_of[school], of[school]) << "seed " << seed;
-            ASSERT_LE(static_cast<int>(out.size()), rules.fleet_out) << "seed " << seed;
+            ASSERT_LE(static_cast<int>(out.size()), rules.max_unavailable) << "seed " << seed;
         }
     }
 }
@@ -186,12 +198,13 @@
             for (const char* member : {"a1", "a2", "a3", "a4"}) {
                 State asked = state;
                 const bool was_out = dead.contains(member);
-                const Answer answer = asked.apply(ask(member, {}, dead));
-                if (!was_out && answer.how == How::granted && !state.find(Kind::pop_cache, member)) {
+                const CommandResult answer = asked.apply(ask(member, {}, dead));
+                if (!was_out && answer.outcome == Outcome::granted &&
+                    !state.find(MemberKind::pop_cache, member)) {
                     ASSERT_TRUE(dead.empty() && state.leases().empty());
                     go(asked, dead, left - 1);
                 }
-                if (state.find(Kind::pop_cache, member)) {
+                if (state.find(MemberKind::pop_cache, member)) {
                     State returned = state;
                     returned.apply(back(member));
                     go(returned, dead, left - 1);
@@ -218,8 +231,8 @@
         } catch (const std::runtime_error&) {
         }
     }
-    const Answer answer{How::refused, 7, "a reason", {"a1", "a2"}};
-    EXPECT_EQ(decode_answer(encode(answer)).waits_for, answer.waits_for);
+    const CommandResult answer{Outcome::rejected, 7, "a reason", {"a1", "a2"}};
+    EXPECT_EQ(decode_result(encode(answer)).blocked_by, answer.blocked_by);
 }
 
 }  // namespace sumackeel::rollout
--- a/tests/nettlethread/choice_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -1,4 +1,6 @@
 // Drives the module alone: settings and events in, actions out. One small test a failure or a rule.
+#include "routing/router.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -6,9 +8,7 @@
 #include <memory>
 #include <variant>
 
-#include "nettlethread/router.h"
-
-namespace nettlethread {
+namespace sumackeel::routing {
 namespace {
 
 constexpr Micros kMs = 1'000;
@@ -17,44 +17,44 @@
 Settings plain_settings() {
     Settings settings;
     ClassSettings service;
-    service.aim = 400 * kMs;
-    service.aim_stretch = 2;
-    service.give_up = 5 * kSecond;
+    service.latency_objective = 400 * kMs;
+    service.latency_objective_stretch = 2;
+    service.deadline = 5 * kSecond;
     settings.classes = {service};
-    settings.instances = 2;
-    settings.my_zone = 0;
-    settings.zone_instances = {1, 1, 0};
-    settings.zone_hub = {0, 0, 0};
+    settings.instance_count = 2;
+    settings.own_zone = 0;
+    settings.instances_by_zone = {1, 1, 0};
+    settings.region_by_zone = {0, 0, 0};
     settings.parent_kind = 1;
     settings.origin_kind = 2;
-    settings.pace_kb_per_s = 1'000;
-    settings.joins = true;
-    settings.notes = Notes::hits;
-    settings.cleared_within = 6 * kSecond;
-    settings.obey_after = 500 * kMs;
+    settings.transfer_rate_kb_per_s = 1'000;
+    settings.coalescing_allowed = true;
+    settings.cache_status_detail = CacheStatusDetail::hits;
+    settings.purge_completes_within = 6 * kSecond;
+    settings.notification_grace = 500 * kMs;
     settings.drain_grace = 250 * kMs;
-    settings.cold_share = 0.2;
-    settings.warm_after = 20 * kSecond;
-    settings.tip_multiple = 2;
-    settings.overload_for = 2 * kSecond;
-    settings.parent_cold_from = 0.1;
-    settings.parent_ramp = 20 * kSecond;
-    settings.parent_breaks_at = 2;
-    settings.may_cancel = true;
-    settings.retry_advice = true;
-    settings.longest_advice = 500 * kMs;
-    settings.most_tries = 8;
+    settings.cold_capacity_fraction = 0.2;
+    settings.warm_up_duration = 20 * kSecond;
+    settings.cold_overload_multiple = 2;
+    settings.overload_window = 2 * kSecond;
+    settings.parent_cold_fraction = 0.1;
+    settings.parent_slow_start = 20 * kSecond;
+    settings.parent_overload_multiple = 2;
+    settings.cancellation_allowed = true;
+    settings.retry_after_allowed = true;
+    settings.max_retry_after = 500 * kMs;
+    settings.max_attempts = 8;
     return settings;
 }
 
-CacheEntry cache(const std::string& name, Micros since = 0, double weight = 4) {
-    return {.cache = name, .weight = weight, .zone = 0, .since = since, .kind = 0, .cell = 0};
+Endpoint cache(const std::string& name, Micros since = 0, double weight = 4) {
+    return {.name = name, .weight = weight, .zone = 0, .started_at = since, .kind = 0, .cell = 0};
 }
-CacheEntry parent(const std::string& name, Micros since = 0) {
-    return {.cache = name, .weight = 20, .zone = 2, .since = since, .kind = 1};
+Endpoint parent(const std::string& name, Micros since = 0) {
+    return {.name = name, .weight = 20, .zone = 2, .started_at = since, .kind = 1};
 }
-CacheEntry origin() {
-    return {.cache = "origin", .weight = 1, .zone = 2, .kind = 2};
+Endpoint origin() {
+    return {.name = "origin", .weight = 1, .zone = 2, .kind = 2};
 }
 
 // A router with its clock and the actions of the last event.
@@ -63,32 +63,32 @@
     explicit Bench(const Settings& settings = plain_settings(), std::uint64_t seed = 7)
         : router_(settings, seed) {}
 
-    void list(std::vector<CacheEntry> entries, ListKind kind = ListKind::full) {
-        tell(ListNews{1, kind, std::move(entries)});
+    void list(std::vector<Endpoint> entries, EndpointUpdateKind kind = EndpointUpdateKind::full) {
+        tell(EndpointUpdate{1, kind, std::move(entries)});
     }
     void tell(const Event& event) {
         actions_.clear();
         router_.handle(now, event, actions_);
     }
     void ask(const std::string& id, const std::string& object, double kb = 200, int part = 0) {
-        Arrival arrival;
+        RequestReceived arrival;
         arrival.id = id;
         arrival.object = object;
-        arrival.grace = 4 * kSecond;
+        arrival.time_left = 4 * kSecond;
         arrival.size_kb = kb;
         arrival.part = part;
-        arrival.group = 3;
+        arrival.purge_group = 3;
         tell(arrival);
     }
-    void end(const std::string& id, const std::string& cache_name, Verdict verdict, int attempt = 0,
-             Note note = Note::none) {
-        Outcome outcome;
+    void end(const std::string& id, const std::string& cache_name, AttemptStatus verdict, int attempt = 0,
+             CacheStatus note = CacheStatus::unknown) {
+        AttemptFinished outcome;
         outcome.id = id;
         outcome.attempt = attempt;
-        outcome.cache = cache_name;
-        outcome.verdict = verdict;
-        outcome.ended = verdict == Verdict::served;
-        outcome.note = note;
+        outcome.endpoint = cache_name;
+        outcome.status = verdict;
+        outcome.request_finished = verdict == AttemptStatus::served;
+        outcome.cache_status = note;
         tell(outcome);
     }
     template <typename T>
@@ -98,10 +98,10 @@
             if (const T* one = std::get_if<T>(&action)) found.push_back(*one);
         return found;
     }
-    Serve served() const {
-        const auto sends = all<Serve>();
+    Forward served() const {
+        const auto sends = all<Forward>();
         EXPECT_EQ(sends.size(), 1u);
-        return sends.empty() ? Serve{} : sends.front();
+        return sends.empty() ? Forward{} : sends.front();
     }
     std::uint64_t timer() const {
         const auto timers = all<SetTimer>();
@@ -128,39 +128,39 @@
 
 TEST_F(ChoiceTest, FirstMissLeadsThroughAParent) {
     bench.ask("r1", "x");
-    const Serve serve = bench.served();
+    const Forward serve = bench.served();
     EXPECT_TRUE(serve.source == "p" || serve.source == "q");
-    EXPECT_GT(serve.rank, 0);
+    EXPECT_GT(serve.cache_priority, 0);
 }
 
 // Guards: a request that no cache can use is an error wherever it is sent. Sent on and on, it would use up
 // the budget for retries and open the breaker of one healthy cache after another.
 TEST_F(ChoiceTest, ErrorsAtTwoCachesEndTheRequest) {
     bench.ask("r1", "x");
-    const std::string first = bench.served().cache;
-    bench.end("r1", first, Verdict::error);
-    const std::string second = bench.served().cache;
+    const std::string first = bench.served().endpoint;
+    bench.end("r1", first, AttemptStatus::error);
+    const std::string second = bench.served().endpoint;
     EXPECT_NE(first, second);
-    bench.end("r1", second, Verdict::error, 1);
-    EXPECT_TRUE(bench.all<Serve>().empty());
-    EXPECT_EQ(bench.all<Refuse>().size(), 1u);
+    bench.end("r1", second, AttemptStatus::error, 1);
+    EXPECT_TRUE(bench.all<Forward>().empty());
+    EXPECT_EQ(bench.all<Reject>().size(), 1u);
 }
 
 TEST_F(ChoiceTest, ErrorsOfTheSourceAreNotTheRequests) {
     bench.ask("r1", "x");
-    bench.end("r1", bench.served().cache, Verdict::error, 0, Note::source_lost);
-    bench.end("r1", bench.served().cache, Verdict::error, 1, Note::source_lost);
+    bench.end("r1", bench.served().endpoint, AttemptStatus::error, 0, CacheStatus::source_unreachable);
+    bench.end("r1", bench.served().endpoint, AttemptStatus::error, 1, CacheStatus::source_unreachable);
     bench.now += kSecond;
-    bench.tell(TimerDue{bench.timer()});
-    EXPECT_EQ(bench.all<Serve>().size(), 1u);
+    bench.tell(TimerExpired{bench.timer()});
+    EXPECT_EQ(bench.all<Forward>().size(), 1u);
 }
 
 // Guards: what runs at the origin may not be tried again. A parent that fails it on the way costs it for
 // good.
 TEST(ChoiceWrites, WhatRunsAtTheOriginPassesTheParentsBy) {
     Settings settings = plain_settings();
-    settings.classes[0].uncached = true;
-    settings.classes[0].semantics = Semantics::unsafe;
+    settings.classes[0].uncacheable = true;
+    settings.classes[0].retry_safety = RetrySafety::not_idempotent;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p"), parent("q"), origin()});
     bench.ask("r1", "x");
@@ -173,21 +173,21 @@
 
 TEST_F(ChoiceTest, LaterRequestsJoinTheFillAtTheSameCache) {
     bench.ask("r1", "x");
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.now += 10 * kMs;
     bench.ask("r2", "x");
-    EXPECT_EQ(bench.served().cache, home);
-    EXPECT_TRUE(bench.served().join);
+    EXPECT_EQ(bench.served().endpoint, home);
+    EXPECT_TRUE(bench.served().coalesce);
 }
 
 TEST_F(ChoiceTest, AfterARecentHitGoesStraightThere) {
     bench.ask("r1", "x");
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.now += 300 * kMs;
-    bench.end("r1", home, Verdict::served, 0, Note::filled);
+    bench.end("r1", home, AttemptStatus::served, 0, CacheStatus::filled);
     bench.now += kSecond;
     bench.ask("r2", "x");
-    EXPECT_EQ(bench.served().cache, home);
+    EXPECT_EQ(bench.served().endpoint, home);
 }
 
 TEST_F(ChoiceTest, EveryRouterPicksTheSameHome) {
@@ -197,17 +197,17 @@
         const std::string object = "o" + std::to_string(i);
         bench.ask("r" + object, object);
         other.ask("s" + object, object);
-        EXPECT_EQ(bench.served().cache, other.served().cache);
+        EXPECT_EQ(bench.served().endpoint, other.served().endpoint);
         EXPECT_EQ(bench.served().source, other.served().source);
-        bench.end("r" + object, bench.served().cache, Verdict::served);
-        other.end("s" + object, other.served().cache, Verdict::served);
+        bench.end("r" + object, bench.served().endpoint, AttemptStatus::served);
+        other.end("s" + object, other.served().endpoint, AttemptStatus::served);
     }
 }
 
 // Where the site has no joins.
 Bench without_joins() {
     Settings settings = plain_settings();
-    settings.joins = false;
+    settings.coalescing_allowed = false;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p")});
     return bench;
@@ -217,25 +217,25 @@
     Bench bench = without_joins();
     bench.ask("r1", "x");
     bench.ask("r2", "x");
-    EXPECT_TRUE(bench.all<Serve>().empty());
+    EXPECT_TRUE(bench.all<Forward>().empty());
     const auto timers = bench.all<SetTimer>();
     ASSERT_EQ(timers.size(), 1u);
-    EXPECT_LT(timers[0].at, bench.now + plain_settings().classes[0].aim + 400 * kMs);
+    EXPECT_LT(timers[0].at, bench.now + plain_settings().classes[0].latency_objective + 400 * kMs);
     bench.now = timers[0].at;
-    bench.tell(TimerDue{timers[0].token});
+    bench.tell(TimerExpired{timers[0].token});
     EXPECT_EQ(bench.served().id, "r2");
-    EXPECT_FALSE(bench.served().join);
+    EXPECT_FALSE(bench.served().coalesce);
 }
 
 TEST(ChoiceHold, TheAnswerReleasesHeldWaiters) {
     Bench bench = without_joins();
     bench.ask("r1", "x");
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.ask("r2", "x");
     bench.now += 200 * kMs;
-    bench.end("r1", home, Verdict::served);
+    bench.end("r1", home, AttemptStatus::served);
     EXPECT_EQ(bench.served().id, "r2");
-    EXPECT_EQ(bench.served().cache, home);
+    EXPECT_EQ(bench.served().endpoint, home);
 }
 
 TEST(ChoiceHold, WhenTheLeadersClientLeavesTheNextWaiterLeads) {
@@ -243,26 +243,26 @@
     bench.ask("r1", "x");
     bench.ask("r2", "x");
     bench.ask("r3", "x");
-    bench.tell(ClientLeft{"r1"});
+    bench.tell(ClientCancelled{"r1"});
     EXPECT_EQ(bench.served().id, "r2");
     bench.now += 100 * kMs;
-    bench.end("r2", "a", Verdict::served);
+    bench.end("r2", "a", AttemptStatus::served);
     bench.ask("r4", "y");
     EXPECT_EQ(bench.served().id, "r4");
 }
 
 TEST(ChoiceHold, WaitersOfAFailedLeaderLeaveSpacedOut) {
     Settings settings = plain_settings();
-    settings.joins = false;
-    settings.most_tries = 1;
+    settings.coalescing_allowed = false;
+    settings.max_attempts = 1;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p")});
     bench.ask("r1", "x");
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.ask("r2", "x");
     bench.ask("r3", "x");
     bench.now += 50 * kMs;
-    bench.end("r1", home, Verdict::error);
+    bench.end("r1", home, AttemptStatus::error);
     const auto timers = bench.all<SetTimer>();
     ASSERT_EQ(timers.size(), 2u);
     EXPECT_LT(timers[0].at, timers[1].at);
@@ -270,32 +270,32 @@
 
 TEST_F(ChoiceTest, AnOverdueFillIsNotJoined) {
     bench.ask("r1", "x");
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.now += 3'900 * kMs;  // far past any predicted time: the fill hangs
     bench.ask("r2", "x");
-    EXPECT_NE(bench.served().cache, home);
+    EXPECT_NE(bench.served().endpoint, home);
 }
 
 // ---- rule 1: one answer, in time ----
 
 TEST_F(ChoiceTest, OutcomeAndDepartureInOneBatchGiveNothingMore) {
     bench.ask("r1", "x");
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.now += 100 * kMs;
-    bench.end("r1", home, Verdict::served);
-    bench.tell(ClientLeft{"r1"});
-    EXPECT_TRUE(bench.all<Refuse>().empty() && bench.all<Fail>().empty() && bench.all<Cancel>().empty());
+    bench.end("r1", home, AttemptStatus::served);
+    bench.tell(ClientCancelled{"r1"});
+    EXPECT_TRUE(bench.all<Reject>().empty() && bench.all<Fail>().empty() && bench.all<Cancel>().empty());
 }
 
 TEST_F(ChoiceTest, ARetryNeverWaitsPastTheClientsPatience) {
     bench.ask("r1", "x", 40);
-    std::string at = bench.served().cache;
+    std::string at = bench.served().endpoint;
     bench.now += 3'800 * kMs;
-    bench.end("r1", at, Verdict::error, 0);
-    at = bench.served().cache;
+    bench.end("r1", at, AttemptStatus::error, 0);
+    at = bench.served().endpoint;
     bench.now += 180 * kMs;
-    bench.end("r1", at, Verdict::error, 1);
-    EXPECT_EQ(bench.all<Refuse>().size(), 1u);
+    bench.end("r1", at, AttemptStatus::error, 1);
+    EXPECT_EQ(bench.all<Reject>().size(), 1u);
     EXPECT_TRUE(bench.all<SetTimer>().empty());
 }
 
@@ -306,19 +306,19 @@
         Bench one;
         one.list({cache("a"), cache("b"), cache("c"), parent("p"), origin()});
         one.ask("first", "x", 40);
-        const std::string home = one.served().cache;
+        const std::string home = one.served().endpoint;
         one.now += 70 * kMs;
-        one.end("first", home, Verdict::served);
+        one.end("first", home, AttemptStatus::served);
         one.ask("lost", "x", 40);
-        EXPECT_EQ(one.served().cache, home);
+        EXPECT_EQ(one.served().endpoint, home);
         one.now += 100 * kMs;
         one.ask("other", "x", 40);
-        EXPECT_EQ(one.served().cache, home);
+        EXPECT_EQ(one.served().endpoint, home);
         one.now += 70 * kMs;
-        if (answers_others) one.end("other", home, Verdict::served);
+        if (answers_others) one.end("other", home, AttemptStatus::served);
         one.now += 200 * kMs;
         one.ask("large", "x", 600);
-        EXPECT_EQ(one.served().cache == home, answers_others);
+        EXPECT_EQ(one.served().endpoint == home, answers_others);
     }
 }
 
@@ -326,37 +326,37 @@
 TEST_F(ChoiceTest, ALostAnswersTimeOutDoesNotMakeItsBoxLate) {
     bench.list({cache("a"), cache("b"), cache("c"), parent("p"), origin()});
     bench.ask("first", "x", 40);
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.now += 70 * kMs;
-    bench.end("first", home, Verdict::served);
+    bench.end("first", home, AttemptStatus::served);
     int lost = 0;
     for (int i = 0; lost < 2 && i < 100; ++i) {  // small objects that the same box holds
         const std::string id = "r" + std::to_string(i), other = "other" + std::to_string(i);
         bench.ask(id + "first", "y" + std::to_string(i), 40);
-        const std::string at = bench.served().cache;
+        const std::string at = bench.served().endpoint;
         bench.now += 70 * kMs;
-        bench.end(id + "first", at, Verdict::served);
+        bench.end(id + "first", at, AttemptStatus::served);
         if (at != home) continue;
         ++lost;
         bench.ask(id, "y" + std::to_string(i), 40);
         bench.now += 400 * kMs;
         bench.ask(other, "x", 40);
         bench.now += 70 * kMs;
-        bench.end(other, home, Verdict::served);
-        bench.end(id, home, Verdict::timed_out);
+        bench.end(other, home, AttemptStatus::served);
+        bench.end(id, home, AttemptStatus::timed_out);
     }
     ASSERT_EQ(lost, 2);
     bench.ask("large", "x", 600);
-    EXPECT_EQ(bench.served().cache, home);
+    EXPECT_EQ(bench.served().endpoint, home);
 }
 
 // Guards: sent again with less time left than its bytes take at full pace, it could only end late.
 TEST_F(ChoiceTest, WhatCanNotBeSentWholeInTheTimeLeftIsGivenUpAtOnce) {
     bench.ask("r1", "x", 300);  // 0.3 s at full pace
-    const std::string at = bench.served().cache;
+    const std::string at = bench.served().endpoint;
     bench.now += 3'720 * kMs;
-    bench.end("r1", at, Verdict::error, 0);
-    EXPECT_EQ(bench.all<Refuse>().size(), 1u);
+    bench.end("r1", at, AttemptStatus::error, 0);
+    EXPECT_EQ(bench.all<Reject>().size(), 1u);
 }
 
 TEST_F(ChoiceTest, TheLastTimeOutEndsBeforeTheClientGivesUp) {
@@ -368,56 +368,56 @@
 TEST_F(ChoiceTest, WithNoCacheListedTheRequestIsRefusedAtOnceWithAdvice) {
     bench.list({parent("p"), origin()});
     bench.ask("r1", "x");
-    ASSERT_EQ(bench.all<Refuse>().size(), 1u);
-    EXPECT_GT(bench.all<Refuse>()[0].come_back, 0);
+    ASSERT_EQ(bench.all<Reject>().size(), 1u);
+    EXPECT_GT(bench.all<Reject>()[0].retry_after, 0);
 }
 
 // ---- rule 2: no effect twice ----
 
 TEST(ChoiceEffects, AnUnsafeRequestThatMayHaveRunFailsAndIsNotSentAgain) {
     Settings settings = plain_settings();
-    settings.classes[0].semantics = Semantics::unsafe;
+    settings.classes[0].retry_safety = RetrySafety::not_idempotent;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p")});
     bench.ask("r1", "x");
-    bench.end("r1", bench.served().cache, Verdict::error);
-    EXPECT_TRUE(bench.all<Serve>().empty());
-    EXPECT_TRUE(bench.all<Refuse>().empty());
+    bench.end("r1", bench.served().endpoint, AttemptStatus::error);
+    EXPECT_TRUE(bench.all<Forward>().empty());
+    EXPECT_TRUE(bench.all<Reject>().empty());
     EXPECT_EQ(bench.all<Fail>().size(), 1u);
 }
 
 TEST(ChoiceEffects, AnUnsafeRequestThatProvablyDidNotRunIsSentAgain) {
     Settings settings = plain_settings();
-    settings.classes[0].semantics = Semantics::unsafe;
+    settings.classes[0].retry_safety = RetrySafety::not_idempotent;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p")});
     bench.ask("r1", "x");
-    const std::string first = bench.served().cache;
-    bench.end("r1", first, Verdict::full);
-    EXPECT_NE(bench.served().cache, first);
+    const std::string first = bench.served().endpoint;
+    bench.end("r1", first, AttemptStatus::overloaded);
+    EXPECT_NE(bench.served().endpoint, first);
 }
 
 TEST(ChoiceEffects, AKeyedRequestStaysInItsGroupAndWindow) {
     Settings settings = plain_settings();
-    settings.classes[0].semantics = Semantics::keyed;
-    settings.classes[0].scope = Scope::cell;
-    settings.classes[0].window = 2 * kSecond;
+    settings.classes[0].retry_safety = RetrySafety::with_idempotency_key;
+    settings.classes[0].idempotency_scope = IdempotencyScope::cell;
+    settings.classes[0].idempotency_window = 2 * kSecond;
     for (const bool in_window : {true, false}) {
         Bench bench(settings);
-        std::vector<CacheEntry> entries = {cache("a"), cache("b"), cache("c"), cache("d"), parent("p")};
+        std::vector<Endpoint> entries = {cache("a"), cache("b"), cache("c"), cache("d"), parent("p")};
         entries[0].cell = entries[1].cell = 1;
         entries[2].cell = entries[3].cell = 2;
         bench.list(entries);
         bench.ask("r1", "x");
-        const std::string first = bench.served().cache;
+        const std::string first = bench.served().endpoint;
         bench.now += in_window ? kSecond : 2'100 * kMs;
-        bench.end("r1", first, Verdict::error);
+        bench.end("r1", first, AttemptStatus::error);
         if (in_window) {
             const bool low = first == "a" || first == "b";
-            const std::string second = bench.served().cache;
+            const std::string second = bench.served().endpoint;
             EXPECT_EQ(low, second == "a" || second == "b");
         } else {
-            EXPECT_TRUE(bench.all<Serve>().empty());
+            EXPECT_TRUE(bench.all<Forward>().empty());
             EXPECT_EQ(bench.all<Fail>().size(), 1u);
         }
     }
@@ -427,23 +427,23 @@
 
 TEST_F(ChoiceTest, NothingNewToADrainingCacheNorOnARetry) {
     bench.ask("r1", "x");
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     std::vector<std::string> others;
     for (const std::string name : {"a", "b", "c"})
         if (name != home) others.push_back(name);
-    CacheEntry draining = cache(others[0]);
-    draining.state = CacheState::draining;
-    bench.list({draining}, ListKind::changes);
-    bench.end("r1", home, Verdict::error);
-    EXPECT_EQ(bench.served().cache, others[1]);
+    Endpoint draining = cache(others[0]);
+    draining.state = EndpointState::draining;
+    bench.list({draining}, EndpointUpdateKind::incremental);
+    bench.end("r1", home, AttemptStatus::error);
+    EXPECT_EQ(bench.served().endpoint, others[1]);
 }
 
 TEST_F(ChoiceTest, ADrainingParentIsNoSource) {
     bench.ask("r1", "x");
     const std::string source = bench.served().source;
-    CacheEntry draining = parent(source);
-    draining.state = CacheState::draining;
-    bench.list({draining}, ListKind::changes);
+    Endpoint draining = parent(source);
+    draining.state = EndpointState::draining;
+    bench.list({draining}, EndpointUpdateKind::incremental);
     bench.ask("r2", "y");
     EXPECT_NE(bench.served().source, source);
     bench.list({origin(), cache("a")});  // both parents left the full list
@@ -454,15 +454,15 @@
 // ---- rule 4: cold starts ----
 
 // Work of 400 new objects, one a millisecond, that names the cold one in `place`.
-double work_sent_to_cold(Bench& bench, std::string Serve::*place) {
+double work_sent_to_cold(Bench& bench, std::string Forward::*place) {
     double sent = 0;
     for (int i = 0; i < 400; ++i) {
         bench.now += kMs;
         const std::string id = "r" + std::to_string(i);
         bench.ask(id, "o" + std::to_string(i));
-        for (const Serve& serve : bench.all<Serve>()) {
+        for (const Forward& serve : bench.all<Forward>()) {
             if (serve.*place == "cold") sent += 200 * kMs;
-            bench.end(id, serve.cache, Verdict::served);
+            bench.end(id, serve.endpoint, AttemptStatus::served);
         }
     }
     return sent;
@@ -472,13 +472,13 @@
     Settings settings = plain_settings();
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), cache("cold", bench.now - kSecond), parent("p")});
-    const double sent = work_sent_to_cold(bench, &Serve::cache);
+    const double sent = work_sent_to_cold(bench, &Forward::endpoint);
     EXPECT_GT(sent, 0);
-    EXPECT_LT(sent, settings.tip_multiple * 4 * 0.25 * settings.overload_for);
+    EXPECT_LT(sent, settings.cold_overload_multiple * 4 * 0.25 * settings.overload_window);
 }
 
-CacheEntry careful(CacheEntry entry) {
-    entry.careful = true;
+Endpoint careful(Endpoint entry) {
+    entry.unverified = true;
     return entry;
 }
 
@@ -486,19 +486,19 @@
 // for as long as it has not answered, however long ago this router started.
 TEST(ChoiceCold, ABoxOfAnOldListStaysAtItsColdestUntilItAnswers) {
     Settings settings = plain_settings();
-    settings.zone_instances = {1};
+    settings.instances_by_zone = {1};
     Bench bench(settings);
-    bench.list({careful(cache("cold")), parent("p"), origin()}, ListKind::saved);
-    const Micros budget = static_cast<Micros>(0.2 * 2 * 4 * static_cast<double>(settings.overload_for));
+    bench.list({careful(cache("cold")), parent("p"), origin()}, EndpointUpdateKind::snapshot);
+    const Micros budget = static_cast<Micros>(0.2 * 2 * 4 * static_cast<double>(settings.overload_window));
     for (int start = 0; start < 3; ++start) {  // at the start, and when a warming from it would be over
         Micros sent = 0;
         for (int i = 0; i < 1500; ++i, bench.now += kMs) {
             const std::string id = "r" + std::to_string(start) + '.' + std::to_string(i);
             bench.ask(id, id);
             int attempt = 0;
-            for (auto out = bench.all<Serve>(); !out.empty(); out = bench.all<Serve>()) {
-                if (out[0].cache == "cold") sent += 200 * kMs;
-                bench.end(id, out[0].cache, Verdict::not_connected, attempt++);
+            for (auto out = bench.all<Forward>(); !out.empty(); out = bench.all<Forward>()) {
+                if (out[0].endpoint == "cold") sent += 200 * kMs;
+                bench.end(id, out[0].endpoint, AttemptStatus::connect_failed, attempt++);
             }
         }
         EXPECT_GT(sent, 0) << start;
@@ -509,32 +509,32 @@
 
 TEST(ChoiceCold, ABoxOfAnOldListWarmsFromItsFirstAnswerOn) {
     Settings settings = plain_settings();
-    settings.zone_instances = {1};
+    settings.instances_by_zone = {1};
     Bench bench(settings);
-    bench.list({careful(cache("cold")), parent("p"), origin()}, ListKind::saved);
+    bench.list({careful(cache("cold")), parent("p"), origin()}, EndpointUpdateKind::snapshot);
     bench.now += 60 * kSecond;
     bench.ask("first", "y");
-    bench.end("first", bench.served().cache, Verdict::served, 0, Note::hit);
-    const double just_proven = work_sent_to_cold(bench, &Serve::cache);
+    bench.end("first", bench.served().endpoint, AttemptStatus::served, 0, CacheStatus::hit);
+    const double just_proven = work_sent_to_cold(bench, &Forward::endpoint);
     EXPECT_GT(just_proven, 0);
-    bench.now += settings.warm_after;
-    const double warm = work_sent_to_cold(bench, &Serve::cache);
+    bench.now += settings.warm_up_duration;
+    const double warm = work_sent_to_cold(bench, &Forward::endpoint);
     EXPECT_GT(warm, 3 * just_proven);
 }
 
 // Guards: telling the same old list again must not start the box's warming, or its debt, anew.
 TEST(ChoiceCold, AnOldListToldTwiceChangesNothing) {
     Settings settings = plain_settings();
-    settings.zone_instances = {1};
+    settings.instances_by_zone = {1};
     Bench bench(settings);
-    const std::vector<CacheEntry> old{careful(cache("cold")), parent("p"), origin()};
-    bench.list(old, ListKind::saved);
-    const double once = work_sent_to_cold(bench, &Serve::cache);
+    const std::vector<Endpoint> old{careful(cache("cold")), parent("p"), origin()};
+    bench.list(old, EndpointUpdateKind::snapshot);
+    const double once = work_sent_to_cold(bench, &Forward::endpoint);
     double more = 0;
     for (int i = 0; i < 20; ++i) {
-        bench.list(old, ListKind::changes);
+        bench.list(old, EndpointUpdateKind::incremental);
         bench.ask("again " + std::to_string(i), "z" + std::to_string(i));
-        for (const Serve& serve : bench.all<Serve>()) more += serve.cache == "cold" ? 200 * kMs : 0;
+        for (const Forward& serve : bench.all<Forward>()) more += serve.endpoint == "cold" ? 200 * kMs : 0;
     }
     EXPECT_GT(once, 0);
     EXPECT_LE(more, once);
@@ -542,32 +542,32 @@
 
 TEST(ChoiceCold, ALiveListEndsTheCare) {
     Settings settings = plain_settings();
-    settings.zone_instances = {1};
+    settings.instances_by_zone = {1};
     Bench bench(settings);
-    bench.list({careful(cache("cold")), parent("p"), origin()}, ListKind::saved);
-    const double careful_share = work_sent_to_cold(bench, &Serve::cache);
+    bench.list({careful(cache("cold")), parent("p"), origin()}, EndpointUpdateKind::snapshot);
+    const double careful_share = work_sent_to_cold(bench, &Forward::endpoint);
     bench.list({cache("cold"), parent("p"), origin()});
-    EXPECT_GT(work_sent_to_cold(bench, &Serve::cache), 3 * careful_share);
+    EXPECT_GT(work_sent_to_cold(bench, &Forward::endpoint), 3 * careful_share);
 }
 
 // ---- the origin alone ----
 
 TEST(ChoiceOriginAlone, ReadsKeepToTheBudgetAndTheRestIsRefusedAtOnce) {
     Settings settings = plain_settings();
-    settings.direct = true;
-    settings.origin_alone_per_s = 5;
+    settings.cache_bypass_allowed = true;
+    settings.origin_only_requests_per_s = 5;
     Bench bench(settings);
     bench.list({origin()});
     int sent = 0, refused = 0;
     for (int i = 0; i < 1000; ++i, bench.now += 10 * kMs) {  // ten seconds of 100 a second
         bench.ask("r" + std::to_string(i), "x" + std::to_string(i));
-        for (const Serve& serve : bench.all<Serve>()) {
-            EXPECT_EQ(serve.cache, "origin");
-            EXPECT_EQ(serve.rank, 0);
+        for (const Forward& serve : bench.all<Forward>()) {
+            EXPECT_EQ(serve.endpoint, "origin");
+            EXPECT_EQ(serve.cache_priority, 0);
             ++sent;
-            bench.end(serve.id, "origin", Verdict::served);
+            bench.end(serve.id, "origin", AttemptStatus::served);
         }
-        for (const Refuse& refuse : bench.all<Refuse>()) refused += refuse.come_back > 0;
+        for (const Reject& refuse : bench.all<Reject>()) refused += refuse.retry_after > 0;
     }
     EXPECT_GE(sent, 50);
     EXPECT_LE(sent, 56);
@@ -576,24 +576,24 @@
 
 TEST(ChoiceOriginAlone, WhatRunsThereInAnyCaseIsNotCounted) {
     Settings settings = plain_settings();
-    settings.direct = true;
-    settings.origin_alone_per_s = 1;
+    settings.cache_bypass_allowed = true;
+    settings.origin_only_requests_per_s = 1;
     settings.classes.push_back(settings.classes[0]);
-    settings.classes[1].uncached = true;
-    settings.classes[1].semantics = Semantics::unsafe;
+    settings.classes[1].uncacheable = true;
+    settings.classes[1].retry_safety = RetrySafety::not_idempotent;
     Bench bench(settings);
     bench.list({origin()});
     for (int i = 0; i < 30; ++i) {
-        Arrival write;
+        RequestReceived write;
         write.id = "w" + std::to_string(i);
-        write.service = 1;
-        write.grace = 3 * kSecond;
+        write.class_index = 1;
+        write.time_left = 3 * kSecond;
         write.write = true;
         bench.tell(write);
-        EXPECT_EQ(bench.all<LookUp>().size() + bench.all<Serve>().size(), 1u);
+        EXPECT_EQ(bench.all<Lookup>().size() + bench.all<Forward>().size(), 1u);
         // The last one may have run when it broke off: it does not go out again.
-        bench.end(write.id, "origin", i < 29 ? Verdict::served : Verdict::broken_off);
-        EXPECT_TRUE(bench.all<Serve>().empty() && bench.all<LookUp>().empty());
+        bench.end(write.id, "origin", i < 29 ? AttemptStatus::served : AttemptStatus::connection_reset);
+        EXPECT_TRUE(bench.all<Forward>().empty() && bench.all<Lookup>().empty());
         bench.now += 10 * kMs;
     }
     EXPECT_EQ(bench.all<Fail>().size(), 1u);
@@ -602,65 +602,65 @@
 // Guards: where nobody set a budget, and on the platform, an empty list is answered as it always was.
 TEST(ChoiceOriginAlone, OffByDefaultAndWhileAnyCacheOrParentIsKnown) {
     Settings settings = plain_settings();
-    settings.direct = true;
+    settings.cache_bypass_allowed = true;
     Bench off(settings);
     off.list({origin()});
     off.ask("r1", "x");
-    EXPECT_EQ(off.all<Refuse>().size(), 1u);
-    settings.origin_alone_per_s = 5;
+    EXPECT_EQ(off.all<Reject>().size(), 1u);
+    settings.origin_only_requests_per_s = 5;
     Bench on(settings);
     on.list({cache("a"), origin()});
     on.ask("r1", "x");
-    EXPECT_EQ(on.served().cache, "a");
+    EXPECT_EQ(on.served().endpoint, "a");
 }
 
 TEST(ChoiceCold, AColdParentIsSparedForAWarmOne) {
     Settings settings = plain_settings();
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("warm"), parent("cold", bench.now - kSecond)});
-    const double sent = work_sent_to_cold(bench, &Serve::source);
+    const double sent = work_sent_to_cold(bench, &Forward::source);
     // Two routers share it; the lowest curve gives a tenth and a little more of its link.
-    EXPECT_LT(sent, 2 * 20 * 0.15 * settings.overload_for / 2);
+    EXPECT_LT(sent, 2 * 20 * 0.15 * settings.overload_window / 2);
 }
 
 // ---- size: many routers share a cache, all share a parent ----
 
 TEST(ChoiceSize, ALoneRequestIsTakenAtAnIdleCacheThatManyRoutersShare) {
     Settings settings = plain_settings();
-    settings.instances = 40;
-    settings.zone_instances = {40, 0, 0};
+    settings.instance_count = 40;
+    settings.instances_by_zone = {40, 0, 0};
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p"), origin()});
     // A share of a tenth of a transfer is no crowd by itself: nothing tells of others here.
     bench.ask("r1", "x");
-    EXPECT_EQ(bench.all<Serve>().size(), 1u);
-    const std::string home = bench.served().cache;
+    EXPECT_EQ(bench.all<Forward>().size(), 1u);
+    const std::string home = bench.served().endpoint;
     bench.now += 300 * kMs;
-    bench.end("r1", home, Verdict::served);
+    bench.end("r1", home, AttemptStatus::served);
     bench.now += 300 * kMs;
     bench.ask("r2", "x");  // nor does one repeat spread the object to a second home
-    EXPECT_EQ(bench.served().cache, home);
+    EXPECT_EQ(bench.served().endpoint, home);
 }
 
 TEST(ChoiceSize, AReportedCrowdOfOthersIsFeltAndFades) {
     Settings settings = plain_settings();
-    settings.instances = 40;
-    settings.zone_instances = {40, 0, 0};
-    settings.reports = Reports::with_answers;
+    settings.instance_count = 40;
+    settings.instances_by_zone = {40, 0, 0};
+    settings.load_reporting = LoadReporting::with_responses;
     for (const Micros later : {50 * kMs, 20 * kSecond}) {
         Bench bench(settings);
         bench.list({cache("a"), parent("p"), origin()});
         bench.ask("r1", "x");
         bench.now += 300 * kMs;
-        Outcome outcome;
+        AttemptFinished outcome;
         outcome.id = "r1";
-        outcome.cache = "a";
-        outcome.ended = true;
-        outcome.load.held = 40;
+        outcome.endpoint = "a";
+        outcome.request_finished = true;
+        outcome.load.in_flight = 40;
         bench.tell(outcome);
         bench.now += later;
         bench.ask("r2", "y");
-        EXPECT_EQ(bench.all<Refuse>().size(), later < kSecond ? 1u : 0u);
+        EXPECT_EQ(bench.all<Reject>().size(), later < kSecond ? 1u : 0u);
     }
 }
 
@@ -670,20 +670,20 @@
     double worst = 0, total = 0;
 };
 
-Pressure press_on_cold(Settings settings, int routers, std::string Serve::*place, std::uint64_t seed) {
-    const bool on_parent = place == &Serve::source;
-    settings.instances = routers;
-    settings.zone_instances = {routers, 0, 0};
+Pressure press_on_cold(Settings settings, int routers, std::string Forward::*place, std::uint64_t seed) {
+    const bool on_parent = place == &Forward::source;
+    settings.instance_count = routers;
+    settings.instances_by_zone = {routers, 0, 0};
     const Micros start = 1'000 * kSecond;
     std::vector<std::unique_ptr<Bench>> fleet;
     for (int i = 0; i < routers; ++i) {
         fleet.push_back(std::make_unique<Bench>(settings, seed * 1'000 + static_cast<std::uint64_t>(i)));
         fleet.back()->now = start;
-        const CacheEntry fresh = on_parent ? parent("cold", start - kSecond) : cache("cold", start - kSecond);
+        const Endpoint fresh = on_parent ? parent("cold", start - kSecond) : cache("cold", start - kSecond);
         fleet.back()->list({cache("a"), cache("b"), cache("c"), parent("warm"), origin(), fresh});
     }
-    const double multiple = on_parent ? settings.parent_breaks_at : settings.tip_multiple;
-    const double from = on_parent ? settings.parent_cold_from : settings.cold_share;
+    const double multiple = on_parent ? settings.parent_overload_multiple : settings.cold_overload_multiple;
+    const double from = on_parent ? settings.parent_cold_fraction : settings.cold_capacity_fraction;
     const double weight = on_parent ? 20 : 4;
     std::deque<std::pair<Micros, double>> sent;
     Pressure pressure;
@@ -694,20 +694,20 @@
             one.now = now + 400 * kMs * i / routers;
             const std::string id = "r" + std::to_string(number++);
             one.ask(id, "o" + std::to_string(seed) + id);
-            for (const Serve& serve : one.all<Serve>()) {
+            for (const Forward& serve : one.all<Forward>()) {
                 if (serve.*place == "cold") sent.emplace_back(one.now, 200.0 * kMs);
-                one.end(id, serve.cache, Verdict::served);
+                one.end(id, serve.endpoint, AttemptStatus::served);
             }
-            while (!sent.empty() && sent.front().first <= one.now - settings.overload_for) {
+            while (!sent.empty() && sent.front().first <= one.now - settings.overload_window) {
                 pressure.total += sent.front().second;
                 sent.pop_front();
             }
             double window = 0;
             for (const auto& [at, work] : sent) window += work;
-            const double age = static_cast<double>(one.now - settings.overload_for - start + kSecond);
+            const double age = static_cast<double>(one.now - settings.overload_window - start + kSecond);
             const double ramp = from + (1 - from) * std::max(0.0, age) / (20.0 * kSecond);
             pressure.worst =
-                std::max(pressure.worst, window / (multiple * weight * ramp * settings.overload_for));
+                std::max(pressure.worst, window / (multiple * weight * ramp * settings.overload_window));
         }
     }
     return pressure;
@@ -715,7 +715,7 @@
 
 TEST(ChoiceSize, ManyRoutersTogetherKeepAColdCachesBudgetAndUseIt) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        const Pressure pressure = press_on_cold(plain_settings(), 30, &Serve::cache, seed);
+        const Pressure pressure = press_on_cold(plain_settings(), 30, &Forward::endpoint, seed);
         EXPECT_LT(pressure.worst, 1) << "seed " << seed;
         EXPECT_GT(pressure.worst, 0.3) << "seed " << seed;
     }
@@ -723,7 +723,7 @@
 
 TEST(ChoiceSize, AllRoutersTogetherKeepAColdParentsBudgetAndUseIt) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        const Pressure pressure = press_on_cold(plain_settings(), 120, &Serve::source, seed);
+        const Pressure pressure = press_on_cold(plain_settings(), 120, &Forward::source, seed);
         EXPECT_LT(pressure.worst, 1) << "seed " << seed;
         EXPECT_GT(pressure.worst, 0.2) << "seed " << seed;
         EXPECT_GT(pressure.total, 0) << "seed " << seed;
@@ -735,20 +735,20 @@
     // when all that came lately was answered as fast as a hit, new objects are no crowd on it.
     for (const bool kept : {true, false}) {
         Settings settings = plain_settings();
-        settings.notes = Notes::none;
-        settings.instances = 12;
-        settings.zone_instances = {12, 0, 0};
-        settings.inlet_kb_per_s = {2'500, 0, 0};
+        settings.cache_status_detail = CacheStatusDetail::none;
+        settings.instance_count = 12;
+        settings.instances_by_zone = {12, 0, 0};
+        settings.ingress_kb_per_s_by_zone = {2'500, 0, 0};
         Bench bench(settings);
         bench.list({cache("a", 0, 40), cache("b", 0, 40), parent("p"), origin()});
         int refused = 0;
         for (int i = 0; i < 120; ++i) {
             const std::string id = "r" + std::to_string(i);
             bench.ask(id, "o" + std::to_string(i));
-            refused += static_cast<int>(i >= 60 && !bench.all<Refuse>().empty());
-            const auto sends = bench.all<Serve>();
+            refused += static_cast<int>(i >= 60 && !bench.all<Reject>().empty());
+            const auto sends = bench.all<Forward>();
             bench.now += kept ? 200 * kMs : 1'100 * kMs;
-            for (const Serve& serve : sends) bench.end(id, serve.cache, Verdict::served);
+            for (const Forward& serve : sends) bench.end(id, serve.endpoint, AttemptStatus::served);
         }
         EXPECT_EQ(refused > 0, !kept);
     }
@@ -759,17 +759,17 @@
 TEST_F(ChoiceTest, AfterAPurgeTheAgeIsBoundedAndNeverZero) {
     bench.tell(Purge{3, 100 * kMs, "x"});
     bench.ask("r1", "x");
-    EXPECT_EQ(bench.served().age, 100 * kMs);
-    const std::string first = bench.served().cache;
+    EXPECT_EQ(bench.served().max_age, 100 * kMs);
+    const std::string first = bench.served().endpoint;
     bench.now += 50 * kMs;
-    bench.end("r1", first, Verdict::error);
-    EXPECT_EQ(bench.served().age, 150 * kMs);  // the retry too
+    bench.end("r1", first, AttemptStatus::error);
+    EXPECT_EQ(bench.served().max_age, 150 * kMs);  // the retry too
     bench.tell(Purge{9, 0, ""});
     bench.ask("r2", "z");
-    EXPECT_EQ(bench.served().age, 0);  // another group's purge
+    EXPECT_EQ(bench.served().max_age, 0);  // another group's purge
     bench.tell(Purge{3, 0, ""});
     bench.ask("r3", "z");
-    EXPECT_EQ(bench.served().age, 1);
+    EXPECT_EQ(bench.served().max_age, 1);
 }
 
 TEST_F(ChoiceTest, NoJoinOfAFillOlderThanThePurge) {
@@ -777,7 +777,7 @@
     bench.now += 20 * kMs;
     bench.tell(Purge{3, 10 * kMs, "x"});
     bench.ask("r2", "x");
-    EXPECT_FALSE(bench.served().join);
+    EXPECT_FALSE(bench.served().coalesce);
 }
 
 // Guards: after a purge of everything each of many routers, new to the part, had it filled once more.
@@ -788,7 +788,7 @@
         bench.list({cache("a"), cache("b"), parent("p"), origin()});
         bench.tell(Purge{3, 200 * kMs, ""});
         bench.ask("r1", "x");
-        joined += bench.served().join && bench.served().age == 200 * kMs;
+        joined += bench.served().coalesce && bench.served().max_age == 200 * kMs;
     }
     EXPECT_EQ(joined, 100);
 }
@@ -796,23 +796,23 @@
 // Guards: parents that died came back cold before the list told of it, and all routers fell upon them.
 TEST(Choice, AParentThatComesBackUnheardIsTakenForCold) {
     Settings settings = plain_settings();
-    settings.notes = Notes::all;
-    settings.instances = 100;
+    settings.cache_status_detail = CacheStatusDetail::all;
+    settings.instance_count = 100;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p"), origin()});
-    const auto ask = [&](int i, Verdict verdict, Note note) {
+    const auto ask = [&](int i, AttemptStatus verdict, CacheStatus note) {
         const std::string id = "r" + std::to_string(i);
         bench.ask(id, "o" + std::to_string(i));
-        const std::string source = bench.all<Serve>().empty() ? "" : bench.served().source;
+        const std::string source = bench.all<Forward>().empty() ? "" : bench.served().source;
         bench.now += 100 * kMs;
-        if (!source.empty()) bench.end(id, bench.served().cache, verdict, 0, note);
-        bench.tell(ClientLeft{id});
+        if (!source.empty()) bench.end(id, bench.served().endpoint, verdict, 0, note);
+        bench.tell(ClientCancelled{id});
         return source;
     };
-    for (int i = 0; i < 3; ++i) EXPECT_EQ(ask(i, Verdict::error, Note::source_lost), "p");
+    for (int i = 0; i < 3; ++i) EXPECT_EQ(ask(i, AttemptStatus::error, CacheStatus::source_unreachable), "p");
     int to_parent = 0;
     bench.now += 10 * kSecond;
-    for (int i = 10; i < 40; ++i) to_parent += ask(i, Verdict::served, Note::filled) == "p";
+    for (int i = 10; i < 40; ++i) to_parent += ask(i, AttemptStatus::served, CacheStatus::filled) == "p";
     EXPECT_GE(to_parent, 1);
     EXPECT_LE(to_parent, 5);  // a hundredth of the cold budget is less than a request a second
 }
@@ -821,16 +821,16 @@
 // more.
 TEST(Choice, ASourceToldAsNotReachedOpensItsBreakerAfterTwo) {
     Settings settings = plain_settings();
-    settings.notes = Notes::all;
+    settings.cache_status_detail = CacheStatusDetail::all;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p"), origin()});
     int opened = 0;
     for (int i = 0; i < 2; ++i) {
         const std::string id = "r" + std::to_string(i);
         bench.ask(id, "o" + std::to_string(i));
-        bench.end(id, bench.served().cache, Verdict::error, 0, Note::source_lost);
-        for (const Log& log : bench.all<Log>()) opened += log.text == "breaker open: p";
-        bench.tell(ClientLeft{id});
+        bench.end(id, bench.served().endpoint, AttemptStatus::error, 0, CacheStatus::source_unreachable);
+        for (const LogMessage& log : bench.all<LogMessage>()) opened += log.text == "breaker open: p";
+        bench.tell(ClientCancelled{id});
         EXPECT_EQ(opened, i);
     }
 }
@@ -838,23 +838,24 @@
 // Guards: with no parent up, fills went on to those that fail, while the origin had room.
 TEST(Choice, WithNoParentUpTheOriginIsNamedInTurn) {
     Settings settings = plain_settings();
-    settings.notes = Notes::all;
-    settings.instances = 100;
+    settings.cache_status_detail = CacheStatusDetail::all;
+    settings.instance_count = 100;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p"), origin()});
     for (int i = 0; i < 12; ++i) {
         const std::string id = "r" + std::to_string(i);
         bench.ask(id, "o" + std::to_string(i));
-        const auto sends = bench.all<Serve>();
+        const auto sends = bench.all<Forward>();
         if (!sends.empty() && sends.front().source == "origin") {
             bench.ask("next", "other");  // one turn at a time
-            EXPECT_TRUE(bench.all<Serve>().empty() || bench.served().source != "origin");
+            EXPECT_TRUE(bench.all<Forward>().empty() || bench.served().source != "origin");
             return;
         }
         bench.now += 50 * kMs;
-        if (!sends.empty()) bench.end(id, sends.front().cache, Verdict::error, 0, Note::source_lost);
+        if (!sends.empty())
+            bench.end(id, sends.front().endpoint, AttemptStatus::error, 0, CacheStatus::source_unreachable);
         bench.now += 500 * kMs;  // past the turn that a second try took
-        bench.tell(ClientLeft{id});
+        bench.tell(ClientCancelled{id});
     }
     ADD_FAILURE() << "the origin was never named";
 }
@@ -867,32 +868,32 @@
     for (int i = 0; i < 40 && logs == 0; ++i) {
         const std::string id = "r" + std::to_string(i);
         bench.ask(id, "o" + std::to_string(i));
-        const Serve serve = bench.served();
-        if (sick.empty()) sick = serve.cache;
+        const Forward serve = bench.served();
+        if (sick.empty()) sick = serve.endpoint;
         bench.now += 20 * kMs;
-        if (serve.cache != sick) {
-            bench.end(id, serve.cache, Verdict::served, 0, Note::filled);
+        if (serve.endpoint != sick) {
+            bench.end(id, serve.endpoint, AttemptStatus::served, 0, CacheStatus::filled);
             continue;
         }
-        bench.end(id, serve.cache, Verdict::error);
-        logs += static_cast<int>(bench.all<Log>().size());
-        for (const Serve& again : bench.all<Serve>()) {
+        bench.end(id, serve.endpoint, AttemptStatus::error);
+        logs += static_cast<int>(bench.all<LogMessage>().size());
+        for (const Forward& again : bench.all<Forward>()) {
             bench.now += 20 * kMs;
-            bench.end(id, again.cache, Verdict::served, 1, Note::filled);
+            bench.end(id, again.endpoint, AttemptStatus::served, 1, CacheStatus::filled);
         }
     }
     ASSERT_EQ(logs, 1);
     for (int i = 0; i < 30; ++i) {  // open: nothing goes there
         const std::string id = "s" + std::to_string(i);
         bench.ask(id, "q" + std::to_string(i));
-        EXPECT_NE(bench.served().cache, sick);
-        bench.end(id, bench.served().cache, Verdict::served, 0, Note::hit);
+        EXPECT_NE(bench.served().endpoint, sick);
+        bench.end(id, bench.served().endpoint, AttemptStatus::served, 0, CacheStatus::hit);
     }
     bench.now += 2 * kSecond;
     int trials = 0;
     for (int i = 0; i < 30; ++i) {  // half open: one trial while none has answered
         bench.ask("t" + std::to_string(i), "u" + std::to_string(i), 1);
-        if (bench.served().cache == sick) ++trials;
+        if (bench.served().endpoint == sick) ++trials;
     }
     EXPECT_EQ(trials, 1);
 }
@@ -902,16 +903,16 @@
         const std::string id = "r" + std::to_string(i);
         bench.now += kSecond / 2;
         bench.ask(id, "o" + std::to_string(i));
-        const Serve serve = bench.served();
+        const Forward serve = bench.served();
         bench.now += 10 * kMs;
-        bench.end(id, serve.cache, Verdict::not_connected);
-        for (const Serve& again : bench.all<Serve>()) {
-            bench.tell(ClientLeft{again.id});
-            bench.end(again.id, again.cache, Verdict::called_off, 1);
+        bench.end(id, serve.endpoint, AttemptStatus::connect_failed);
+        for (const Forward& again : bench.all<Forward>()) {
+            bench.tell(ClientCancelled{again.id});
+            bench.end(again.id, again.endpoint, AttemptStatus::cancelled, 1);
         }
     }
     bench.ask("last", "last");
-    EXPECT_EQ(bench.all<Serve>().size(), 1u);
+    EXPECT_EQ(bench.all<Forward>().size(), 1u);
 }
 
 // ---- overload ----
@@ -920,8 +921,8 @@
     int refused = 0;
     for (int i = 0; i < 200; ++i) {
         bench.ask("r" + std::to_string(i), "o" + std::to_string(i), 600);
-        refused += static_cast<int>(bench.all<Refuse>().size());
-        for (const Refuse& refuse : bench.all<Refuse>()) EXPECT_GT(refuse.come_back, 0);
+        refused += static_cast<int>(bench.all<Reject>().size());
+        for (const Reject& refuse : bench.all<Reject>()) EXPECT_GT(refuse.retry_after, 0);
     }
     EXPECT_GT(refused, 100);
 }
@@ -934,10 +935,10 @@
             one.now += 5 * kMs;
             const std::string id = "r" + std::to_string(i);
             one.ask(id, "o" + std::to_string(i % 17));
-            for (const Serve& serve : one.all<Serve>()) {
-                seen += serve.cache + serve.source + std::to_string(serve.timeout) + ';';
-                one.end(id, serve.cache, i % 3 ? Verdict::served : Verdict::error);
-                for (const Serve& again : one.all<Serve>()) seen += again.cache + again.source + '!';
+            for (const Forward& serve : one.all<Forward>()) {
+                seen += serve.endpoint + serve.source + std::to_string(serve.timeout) + ';';
+                one.end(id, serve.endpoint, i % 3 ? AttemptStatus::served : AttemptStatus::error);
+                for (const Forward& again : one.all<Forward>()) seen += again.endpoint + again.source + '!';
             }
         }
         return seen;
@@ -947,11 +948,11 @@
 }
 
 TEST_F(ChoiceTest, EventsForRequestsNoLongerHeldAreIgnored) {
-    bench.end("unknown", "a", Verdict::served);
-    bench.end("unknown", "never listed", Verdict::error);
-    bench.tell(ClientLeft{"unknown"});
-    bench.tell(TimerDue{987654321});
-    EXPECT_TRUE(bench.all<Serve>().empty());
+    bench.end("unknown", "a", AttemptStatus::served);
+    bench.end("unknown", "never listed", AttemptStatus::error);
+    bench.tell(ClientCancelled{"unknown"});
+    bench.tell(TimerExpired{987654321});
+    EXPECT_TRUE(bench.all<Forward>().empty());
 }
 
 // ---- failures found on incidents ----
@@ -961,21 +962,21 @@
     for (int i = 0; i < 12; ++i) {
         const std::string id = "r" + std::to_string(i);
         bench.ask(id, "o" + std::to_string(i));
-        Serve serve = bench.served();
-        Outcome outcome;
+        Forward serve = bench.served();
+        AttemptFinished outcome;
         outcome.id = id;
-        outcome.cache = serve.cache;
-        outcome.verdict = Verdict::full;
-        outcome.took = 60 * kMs;
-        bench.now += outcome.took;
+        outcome.endpoint = serve.endpoint;
+        outcome.status = AttemptStatus::overloaded;
+        outcome.elapsed = 60 * kMs;
+        bench.now += outcome.elapsed;
         bench.tell(outcome);
-        for (const Log& log : bench.all<Log>())
+        for (const LogMessage& log : bench.all<LogMessage>())
             (log.text == "breaker open: p" || log.text == "breaker open: q" ||
                      log.text == "breaker open: origin"
                  ? parent_logs
                  : cache_logs) += 1;
-        bench.tell(ClientLeft{id});
-        bench.end(id, serve.cache, Verdict::called_off, 1);
+        bench.tell(ClientCancelled{id});
+        bench.end(id, serve.endpoint, AttemptStatus::cancelled, 1);
     }
     EXPECT_GE(parent_logs, 1);
     EXPECT_EQ(cache_logs, 0);
@@ -983,96 +984,98 @@
 
 TEST(ChoiceOrigin, WithTheOriginDownOnlyWhatParentsHoldIsAsked) {
     Settings settings = plain_settings();
-    settings.notes = Notes::all;
+    settings.cache_status_detail = CacheStatusDetail::all;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), cache("c"), parent("p"), origin()});
     bool held_only = false;
     for (int i = 0; i < 12 && !held_only; ++i) {
         const std::string id = "r" + std::to_string(i);
         bench.ask(id, "o" + std::to_string(i));
-        const Serve serve = bench.served();
-        held_only = serve.source_holds;
+        const Forward serve = bench.served();
+        held_only = serve.source_cached_only;
         bench.now += 50 * kMs;
-        bench.end(id, serve.cache, Verdict::full, 0, Note::origin_failed);
-        bench.tell(ClientLeft{id});
-        bench.end(id, serve.cache, Verdict::called_off, 1);
+        bench.end(id, serve.endpoint, AttemptStatus::overloaded, 0, CacheStatus::origin_failed);
+        bench.tell(ClientCancelled{id});
+        bench.end(id, serve.endpoint, AttemptStatus::cancelled, 1);
     }
     EXPECT_TRUE(held_only);
 }
 
 TEST(ChoiceStale, AfterAFailedTryAnOldCopyWillDoAtItsHolder) {
     Settings settings = plain_settings();
-    settings.classes[0].fresh = 2 * kSecond;
-    settings.classes[0].grace = 10 * kSecond;
+    settings.classes[0].freshness_lifetime = 2 * kSecond;
+    settings.classes[0].stale_grace = 10 * kSecond;
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p"), parent("q")});
     bench.ask("r1", "x");
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.now += 300 * kMs;
-    bench.end("r1", home, Verdict::served, 0, Note::filled);
+    bench.end("r1", home, AttemptStatus::served, 0, CacheStatus::filled);
     bench.now += 3 * kSecond;
     bench.ask("r2", "x");
-    EXPECT_EQ(bench.served().age, 0);
+    EXPECT_EQ(bench.served().max_age, 0);
     bench.now += 100 * kMs;
-    bench.end("r2", home, Verdict::error);
-    EXPECT_EQ(bench.served().cache, home);
-    EXPECT_EQ(bench.served().age, 12 * kSecond);
-    EXPECT_TRUE(bench.served().renew);
+    bench.end("r2", home, AttemptStatus::error);
+    EXPECT_EQ(bench.served().endpoint, home);
+    EXPECT_EQ(bench.served().max_age, 12 * kSecond);
+    EXPECT_TRUE(bench.served().revalidate);
     bench.now += 100 * kMs;  // never past a purge, old copy or not
     bench.tell(Purge{3, 0, "x"});
     bench.now += 5 * kMs;
     bench.ask("r3", "x");
-    EXPECT_EQ(bench.served().age, 5 * kMs);
+    EXPECT_EQ(bench.served().max_age, 5 * kMs);
 }
 
 TEST(ChoiceLink, FillsWaitingForTheLinkDoNotCrowdOutHits) {
     Settings settings = plain_settings();
-    settings.inlet_kb_per_s = {1'000, 1'000, 0};  // one transfer at full pace
+    settings.ingress_kb_per_s_by_zone = {1'000, 1'000, 0};  // one transfer at full pace
     Bench bench(settings);
     bench.list({cache("a"), cache("b"), parent("p")});
     bench.ask("first", "x", 100);
-    const std::string home = bench.served().cache;
+    const std::string home = bench.served().endpoint;
     bench.now += 200 * kMs;
-    bench.end("first", home, Verdict::served, 0, Note::filled);
+    bench.end("first", home, AttemptStatus::served, 0, CacheStatus::filled);
     for (int i = 0; i < 60; ++i) bench.ask("f" + std::to_string(i), "o" + std::to_string(i), 100);
     bench.ask("hit", "x", 100);
-    EXPECT_EQ(bench.served().cache, home);  // not refused, not moved
+    EXPECT_EQ(bench.served().endpoint, home);  // not refused, not moved
 }
 
 TEST_F(ChoiceTest, ATrialThatTaughtNothingDoesNotKeepTheBreakerHalfOpen) {
-    const auto hit_sick = [&](const std::string& prefix, Verdict verdict, const std::string& sick, int most) {
+    const auto hit_sick = [&](const std::string& prefix, AttemptStatus verdict, const std::string& sick,
+                              int most) {
         int sent = 0;
         for (int i = 0; i < most; ++i) {
             const std::string id = prefix + std::to_string(i);
             bench.ask(id, id, 1);
-            const Serve serve = bench.served();
+            const Forward serve = bench.served();
             bench.now += 5 * kMs;
-            sent += serve.cache == sick ? 1 : 0;
-            bench.end(id, serve.cache, serve.cache == sick ? verdict : Verdict::served, 0, Note::none);
-            for (const Serve& again : bench.all<Serve>())
-                bench.end(id, again.cache, Verdict::served, 1, Note::hit);
+            sent += serve.endpoint == sick ? 1 : 0;
+            bench.end(id, serve.endpoint, serve.endpoint == sick ? verdict : AttemptStatus::served, 0,
+                      CacheStatus::unknown);
+            for (const Forward& again : bench.all<Forward>())
+                bench.end(id, again.endpoint, AttemptStatus::served, 1, CacheStatus::hit);
         }
         return sent;
     };
-    EXPECT_GE(hit_sick("r", Verdict::not_connected, "a", 60), 3);
-    EXPECT_EQ(hit_sick("s", Verdict::not_connected, "a", 30), 0);  // open
+    EXPECT_GE(hit_sick("r", AttemptStatus::connect_failed, "a", 60), 3);
+    EXPECT_EQ(hit_sick("s", AttemptStatus::connect_failed, "a", 30), 0);  // open
     bench.now += 3 * kSecond;
-    EXPECT_GE(hit_sick("t", Verdict::called_off, "a", 40), 2);  // trial after trial, none decides
+    EXPECT_GE(hit_sick("t", AttemptStatus::cancelled, "a", 40), 2);  // trial after trial, none decides
 }
 
 // Guards: found by the expectations' checker. Past dead caches a parent was asked to fill from an origin that
 // had been told to be gone.
 TEST(ChoiceDirect, PastTheCachesAnOriginThatIsOutIsNotNamed) {
-    for (const CacheState state : {CacheState::draining, CacheState::gone}) {
+    for (const EndpointState state : {EndpointState::draining, EndpointState::removed}) {
         Settings settings = plain_settings();
-        settings.direct = true;
+        settings.cache_bypass_allowed = true;
         Bench bench(settings);
-        CacheEntry out = origin();
+        Endpoint out = origin();
         out.state = state;
         bench.list({parent("p"), out});
         bench.ask("r1", "x", 50);
-        const Serve serve = bench.served();
-        EXPECT_EQ(serve.cache, "p");
+        const Forward serve = bench.served();
+        EXPECT_EQ(serve.endpoint, "p");
         EXPECT_EQ(serve.source, "p");  // what it holds, it gives
     }
 }
@@ -1080,21 +1083,22 @@
 TEST(ChoiceDirect, WithEveryCacheEjectedAParentAnswersPastThemOnlyWhereAllowed) {
     for (const bool allowed : {true, false}) {
         Settings settings = plain_settings();
-        settings.direct = allowed;
+        settings.cache_bypass_allowed = allowed;
         Bench bench(settings);
         bench.list({cache("a"), parent("p"), origin()});
         bool past = false;
         for (int i = 0; i < 20; ++i) {
             const std::string id = "r" + std::to_string(i);
             bench.ask(id, "o" + std::to_string(i), 50);
-            for (const Serve& serve : bench.all<Serve>()) {
-                if (serve.cache == "p") {
+            for (const Forward& serve : bench.all<Forward>()) {
+                if (serve.endpoint == "p") {
                     past = true;
                     EXPECT_EQ(serve.source, "origin");
-                    EXPECT_EQ(serve.rank, 0);
+                    EXPECT_EQ(serve.cache_priority, 0);
                 }
-                bench.end(id, serve.cache, serve.cache == "a" ? Verdict::not_connected : Verdict::served);
-                bench.tell(ClientLeft{id});
+                bench.end(id, serve.endpoint,
+                          serve.endpoint == "a" ? AttemptStatus::connect_failed : AttemptStatus::served);
+                bench.tell(ClientCancelled{id});
             }
         }
         EXPECT_EQ(past, allowed);
@@ -1102,4 +1106,4 @@
 }
 
 }  // namespace
-}  // namespace nettlethread
+}  // namespace sumackeel::routing
--- a/tests/sim/wire_test.cpp
+++ b/tests/simulator_adapter/simulator_protocol_test.cpp
@@ -1,9 +1,11 @@
 // The wire both ways: each message, absent and null values, unknown keys, tokens up to 2^63.
-#include "sim/wire.h"
+#include "simulator_adapter/simulator_protocol.h"
 
 #include <gtest/gtest.h>
 
-namespace nettlethread::wire {
+namespace sumackeel::simulator_adapter {
+
+using namespace routing;
 namespace {
 
 using nlohmann::json;
@@ -28,20 +30,20 @@
     EXPECT_EQ(start.seed, 9223372036854775807ULL);
     const Settings& s = start.settings;
     ASSERT_EQ(s.classes.size(), 2u);
-    EXPECT_EQ(s.classes[0].semantics, Semantics::keyed);
-    EXPECT_EQ(s.classes[0].scope, Scope::cell);
-    EXPECT_TRUE(s.classes[0].stream);
-    EXPECT_EQ(s.classes[1].semantics, Semantics::unsafe);
-    EXPECT_TRUE(s.classes[1].uncached);
-    EXPECT_EQ(s.classes[1].fresh, 8'000'000);
-    EXPECT_EQ(s.my_zone, 1);
-    EXPECT_TRUE(s.ask_for_list);
-    EXPECT_EQ(s.weights, Weights::rough);
-    EXPECT_EQ(s.reports, Reports::on_probe);
-    EXPECT_EQ(s.neighbours, Neighbours::own_zone);
-    EXPECT_EQ(s.notes, Notes::hits);
-    EXPECT_EQ(s.most_tries, 8);
-    EXPECT_DOUBLE_EQ(s.tip_multiple, 2.0);
+    EXPECT_EQ(s.classes[0].retry_safety, RetrySafety::with_idempotency_key);
+    EXPECT_EQ(s.classes[0].idempotency_scope, IdempotencyScope::cell);
+    EXPECT_TRUE(s.classes[0].streaming);
+    EXPECT_EQ(s.classes[1].retry_safety, RetrySafety::not_idempotent);
+    EXPECT_TRUE(s.classes[1].uncacheable);
+    EXPECT_EQ(s.classes[1].freshness_lifetime, 8'000'000);
+    EXPECT_EQ(s.own_zone, 1);
+    EXPECT_TRUE(s.endpoints_on_request);
+    EXPECT_EQ(s.weight_quality, WeightQuality::rough);
+    EXPECT_EQ(s.load_reporting, LoadReporting::on_health_check);
+    EXPECT_EQ(s.sibling_fill, SiblingFill::own_zone);
+    EXPECT_EQ(s.cache_status_detail, CacheStatusDetail::hits);
+    EXPECT_EQ(s.max_attempts, 8);
+    EXPECT_DOUBLE_EQ(s.cold_overload_multiple, 2.0);
 }
 
 TEST(WireStart, WrongTypesAndMissingValuesAreNamed) {
@@ -57,16 +59,16 @@
 TEST(WireEvents, Call) {
     const Event event =
         read_event(json::array({"call", "c:1", "tables", nullptr, "h:k", 240000, 640, 11, 3, 6}), kNames);
-    const auto& call = std::get<Arrival>(event);
-    EXPECT_EQ(call.service, 1);
+    const auto& call = std::get<RequestReceived>(event);
+    EXPECT_EQ(call.class_index, 1);
     EXPECT_EQ(call.object, "h:k");
-    EXPECT_EQ(call.grace, 240000);
+    EXPECT_EQ(call.time_left, 240000);
     EXPECT_DOUBLE_EQ(call.size_kb, 640);
-    EXPECT_EQ(call.group, 11);
+    EXPECT_EQ(call.purge_group, 11);
     EXPECT_EQ(call.part, 3);
-    EXPECT_TRUE(call.client_repeat && call.write);
+    EXPECT_TRUE(call.client_retry && call.write);
     const Event brief = read_event(json::array({"call", "c:1", "bulk", 0, 0, 5}), kNames);
-    const auto& short_call = std::get<Arrival>(brief);
+    const auto& short_call = std::get<RequestReceived>(brief);
     EXPECT_TRUE(short_call.object.empty());
     EXPECT_EQ(short_call.size_kb, 0);
     EXPECT_THROW(read_event(json::array({"call", "c:1", "unknown", nullptr, "h:k", 1}), kNames), WireError);
@@ -77,14 +79,14 @@
     const Event event = read_event(json::array({"completed", "c:1", 2, "10.0.0.1:1", "overdue", 18500, true,
                                                 7, 9400, json{{"outstanding", 7}, {"new", "text"}}}),
                                    kNames);
-    const auto& outcome = std::get<Outcome>(event);
+    const auto& outcome = std::get<AttemptFinished>(event);
     EXPECT_EQ(outcome.attempt, 2);
-    EXPECT_EQ(outcome.verdict, Verdict::timed_out);
-    EXPECT_TRUE(outcome.ended);
-    EXPECT_EQ(outcome.note, Note::source_lost);
-    EXPECT_EQ(outcome.load.held, 7);
+    EXPECT_EQ(outcome.status, AttemptStatus::timed_out);
+    EXPECT_TRUE(outcome.request_finished);
+    EXPECT_EQ(outcome.cache_status, CacheStatus::source_unreachable);
+    EXPECT_EQ(outcome.load.in_flight, 7);
     const Event brief = read_event(json::array({"completed", "c:1", 0, "x", "lookup_miss", 1}), kNames);
-    EXPECT_FALSE(std::get<Outcome>(brief).ended);
+    EXPECT_FALSE(std::get<AttemptFinished>(brief).request_finished);
     EXPECT_THROW(read_event(json::array({"completed", "c:1", 0, "x", "no such verdict", 1}), kNames),
                  WireError);
 }
@@ -95,33 +97,34 @@
             {"view", 41, "INCREMENTAL",
              json::array({json::array({1.5, "10.0.0.1:1", "terminating", "edge-1", nullptr, "std-a", 7})})}),
         kNames);
-    const auto& news = std::get<ListNews>(event);
-    EXPECT_EQ(news.kind, ListKind::changes);
-    ASSERT_EQ(news.entries.size(), 1u);
-    EXPECT_EQ(news.entries[0].state, CacheState::draining);
-    EXPECT_EQ(news.entries[0].zone, 1);
-    EXPECT_EQ(news.entries[0].since, 0);
-    EXPECT_EQ(news.entries[0].cell, 7);
-    EXPECT_EQ(std::get<ListNews>(read_event(json::array({"view", 42, "FAILED"}), kNames)).kind,
-              ListKind::failed);
+    const auto& news = std::get<EndpointUpdate>(event);
+    EXPECT_EQ(news.kind, EndpointUpdateKind::incremental);
+    ASSERT_EQ(news.endpoints.size(), 1u);
+    EXPECT_EQ(news.endpoints[0].state, EndpointState::draining);
+    EXPECT_EQ(news.endpoints[0].zone, 1);
+    EXPECT_EQ(news.endpoints[0].started_at, 0);
+    EXPECT_EQ(news.endpoints[0].cell, 7);
+    EXPECT_EQ(std::get<EndpointUpdate>(read_event(json::array({"view", 42, "FAILED"}), kNames)).kind,
+              EndpointUpdateKind::failed);
 }
 
 TEST(WireEvents, TheRest) {
     const std::uint64_t most = std::uint64_t{1} << 63;
-    EXPECT_EQ(std::get<TimerDue>(read_event(json::array({"wake", most}), kNames)).token, most);
+    EXPECT_EQ(std::get<TimerExpired>(read_event(json::array({"wake", most}), kNames)).token, most);
     EXPECT_THROW(read_event(json::array({"wake", most + 1}), kNames), WireError);
     EXPECT_THROW(read_event(json::array({"wake", -1}), kNames), WireError);
-    EXPECT_EQ(std::get<ClientLeft>(read_event(json::array({"cancelled_by_client", "c:9"}), kNames)).id,
+    EXPECT_EQ(std::get<ClientCancelled>(read_event(json::array({"cancelled_by_client", "c:9"}), kNames)).id,
               "c:9");
     const Event purge = read_event(json::array({"recalled", 11, 85000, 0}), kNames);
     EXPECT_TRUE(std::get<Purge>(purge).object.empty());
     EXPECT_EQ(std::get<Purge>(purge).age, 85000);
-    EXPECT_EQ(std::get<PeerNews>(read_event(json::array({"datagram", 2, "6869"}), kNames)).bytes, "hi");
+    EXPECT_EQ(std::get<GossipReceived>(read_event(json::array({"datagram", 2, "6869"}), kNames)).bytes, "hi");
     EXPECT_THROW(read_event(json::array({"datagram", 2, "6"}), kNames), WireError);
-    EXPECT_EQ(std::get<StreamStarted>(read_event(json::array({"flowing", "c:1", "x", 1, 9}), kNames)).attempt,
-              1);
     EXPECT_EQ(
-        std::get<ProbeAnswer>(read_event(json::array({"check_result", "x", "completed", 9}), kNames)).took,
+        std::get<ResponseStarted>(read_event(json::array({"flowing", "c:1", "x", 1, 9}), kNames)).attempt, 1);
+    EXPECT_EQ(
+        std::get<HealthCheckResult>(read_event(json::array({"check_result", "x", "completed", 9}), kNames))
+            .elapsed,
         9);
     EXPECT_THROW(read_event(json::array({"no such event"}), kNames), WireError);
     EXPECT_THROW(read_event(json::object(), kNames), WireError);
@@ -129,23 +132,23 @@
 
 TEST(WireActions, EachInItsForm) {
     const auto text = [](const Action& action) { return write_action(action).dump(); };
-    EXPECT_EQ(text(LookUp{"c:1", "x", 80000}), R"(["route","c:1","x",80000])");
-    Serve serve{"c:1", 900000, "x", 1500000, true, false, false, true, "y", 2};
+    EXPECT_EQ(text(Lookup{"c:1", "x", 80000}), R"(["route","c:1","x",80000])");
+    Forward serve{"c:1", 900000, "x", 1500000, true, false, false, true, "y", 2};
     EXPECT_EQ(text(serve), R"(["serve_via","c:1",900000,"x",1500000,9,"y",2])");
-    serve.source_holds = serve.parent_skips = true;
+    serve.source_cached_only = serve.parent_bypasses_cache = true;
     EXPECT_EQ(write_action(serve)[5], 15);
     EXPECT_EQ(text(SetTimer{8912250, std::uint64_t{1} << 63}), R"(["remind",8912250,9223372036854775808])");
-    EXPECT_EQ(text(Refuse{"c:1", 250000}), R"(["shed","c:1",250000])");
+    EXPECT_EQ(text(Reject{"c:1", 250000}), R"(["shed","c:1",250000])");
     EXPECT_EQ(text(Fail{"c:1"}), R"(["lose","c:1"])");
     EXPECT_EQ(text(Cancel{"c:1", 0}), R"(["revoke","c:1",0])");
-    EXPECT_EQ(text(TellPeer{-1, "hi"}), R"(["publish","*","6869"])");
-    EXPECT_EQ(text(TellPeer{3, ""}), R"(["publish",3,""])");
-    EXPECT_EQ(text(WatchList{true}), R"(["keep_informed",true])");
-    EXPECT_EQ(text(FetchList{}), R"(["refresh"])");
-    EXPECT_EQ(text(Probe{"x"}), R"(["touch","x"])");
-    EXPECT_EQ(text(CloseIdle{"x"}), R"(["close","x"])");
-    EXPECT_EQ(text(Log{"two servers known"}), R"(["record","two servers known"])");
+    EXPECT_EQ(text(SendGossip{-1, "hi"}), R"(["publish","*","6869"])");
+    EXPECT_EQ(text(SendGossip{3, ""}), R"(["publish",3,""])");
+    EXPECT_EQ(text(WatchEndpoints{true}), R"(["keep_informed",true])");
+    EXPECT_EQ(text(PollEndpoints{}), R"(["refresh"])");
+    EXPECT_EQ(text(SendHealthCheck{"x"}), R"(["touch","x"])");
+    EXPECT_EQ(text(CloseIdleConnections{"x"}), R"(["close","x"])");
+    EXPECT_EQ(text(LogMessage{"two servers known"}), R"(["record","two servers known"])");
 }
 
 }  // namespace
-}  // namespace nettlethread::wire
+}  // namespace sumackeel::simulator_adapter
