--- a/Makefile
+++ b/Makefile
@@ -24,9 +24,12 @@
 	clang-format --dry-run -Werror $$(git ls-files '*.cpp' '*.h')
 	tests/layout/module_size.sh .
 	tests/layout/floors.sh .
+	tests/layout/withdrawn_words.py .
+	cmake -B build-lint -DCMAKE_BUILD_TYPE=Release > /dev/null
+	tests/layout/clang_tidy.sh build-lint
 
 run: build
 	GW_CONFIG=$(CONFIG) build/sumackeel
 
 clean:
-	cmake -E rm -rf build build-test build-bench
+	cmake -E rm -rf build build-test build-lint build-bench
--- a/deploy/packages.sh
+++ b/deploy/packages.sh
@@ -4,7 +4,7 @@
 set -eu
 root=$(cd "$(dirname "$0")/.." && pwd)
 build="cmake g++ make"
-test="libgtest-dev doctest-dev librapidcheck-dev libbenchmark-dev clang-format"
+test="libgtest-dev doctest-dev librapidcheck-dev libbenchmark-dev clang-format clang-tidy"
 named=$(sed -n 's/^packages = \[\(.*\)\].*/\1/p' "$root/deploy/balancer.toml" | tr -d '",')
 missing=""
 for package in $build $test $named; do
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,8 +1,7 @@
-// The two clocks of a process as two types that don't mix: Micros of a clock that only runs on, for all
-// deadlines, waits, windows and ages, and UnixTime of the system's wall clock, for what the wire and files
-// say.
+// The two clocks of a process as two types that don't mix: Micros of a monotonic clock, for all deadlines,
+// waits, windows and ages, and UnixTime of the system's wall clock, for what wires and files state.
 //
-// The wall clock may be stepped either way at any moment, by seconds or by an hour. Nothing here follows it.
+// The wall clock may be stepped either way at any moment; the monotonic clock does not follow it.
 #pragma once
 
 #include <algorithm>
@@ -31,7 +30,7 @@
         const Reading reading = read_();
         if (!origin_) origin_ = reading.wall.micros - reading.steady;
         const Micros now = *origin_ + reading.steady;
-        if (due_ && now > *due_ + kStall) stalled_ += now - *due_;
+        if (due_ && now > *due_ + kMinStall) stalled_ += now - *due_;
         if (due_) due_ = std::max(now, *due_);
         return now;
     }
@@ -39,37 +38,37 @@
     // The wall clock as it stands.
     UnixTime unix_now() const { return read_().wall; }
 
-    // The one place where a wall time that was told becomes a moment of now(). Where the wall clock was
-    // stepped since the first call nobody knows which of its two times was right: the later moment counts, as
-    // what it dates (a purge, a start) then binds for longer. Never later than now.
+    // Turns a wall time of another machine into a moment of now(). Where the wall clock was stepped since the
+    // first call it is not known which of its two times was right: the later moment counts, as what it dates
+    // (a purge, a start) then binds for longer. Never later than now.
     Micros from_unix(UnixTime at) {
         const Micros present = now(), step = unix_now().micros - present;
-        const bool stepped = step > kStep || step < -kStep;
+        const bool stepped = step > kMinStep || step < -kMinStep;
         const Micros moment = stepped ? std::max(at.micros, at.micros - step) : at.micros;
         return std::min(moment, present);
     }
 
-    // The process is due to run again at `at`; nothing: it waits for events alone. A reading that comes much
-    // later shows that it stood still: it was stopped, or one turn of its loop took too long.
+    // The process is to run again at `at`; nothing: it waits for events alone. A reading that comes much
+    // later shows that it was stopped, or that one iteration of its loop took too long.
     void expect_wakeup(std::optional<Micros> at) { due_ = at; }
-    // For how long the process stood still in all since its start.
+    // How long the process was stalled in all since its start.
     Micros total_stall_time() const { return stalled_; }
 
-    // For test builds: the system's wall clock is read as so far off from now on, in all of the process.
-    static void set_wall_offset(Micros by) { off_ = by; }
+    // For test builds: an offset added to the wall clock from now on, in the whole process.
+    static void set_wall_offset(Micros offset) { wall_offset_ = offset; }
 
   private:
-    static constexpr Micros kStep = 1'000'000;  // the wall clock may slew by less than this
-    static constexpr Micros kStall = 100'000;   // a busy machine runs a process late by less than this
+    static constexpr Micros kMinStep = 1'000'000;  // us; a difference below this is the wall clock's slew
+    static constexpr Micros kMinStall = 100'000;   // us; a busy machine runs a process late by less
 
     static Reading system() {
         using std::chrono::duration_cast, std::chrono::microseconds;
-        return {
-            {duration_cast<microseconds>(std::chrono::system_clock::now().time_since_epoch()).count() + off_},
-            duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch()).count()};
+        return {{duration_cast<microseconds>(std::chrono::system_clock::now().time_since_epoch()).count() +
+                 wall_offset_},
+                duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch()).count()};
     }
 
-    static inline Micros off_ = 0;
+    static inline Micros wall_offset_ = 0;
     Reading (*read_)() = system;
     std::optional<Micros> origin_;  // what now() adds to the monotonic clock
     std::optional<Micros> due_;
--- a/src/base/files.cpp
+++ b/src/base/files.cpp
@@ -39,21 +39,22 @@
 
 #ifdef SUMACKEEL_TEST_KEYS
 namespace {
-int points_left = 0;
+int points_remaining = 0;
 }
-void crash_at(int point) {
-    points_left = point;
+void crash_at(int points_from_now) {
+    points_remaining = points_from_now;
 }
 void crash_point() {
-    if (points_left > 0 && --points_left == 0) ::_exit(9);
+    if (points_remaining > 0 && --points_remaining == 0) ::_exit(9);
 }
 #endif
 
-std::string replace_file(const std::string& folder, const std::string& unfinished, const std::string& final,
-                         std::string_view bytes) {
-    const std::string from = folder + '/' + unfinished, to = folder + '/' + final;
+std::string replace_file(const std::string& directory, const std::string& temporary_name,
+                         const std::string& final_name, std::string_view bytes) {
+    const std::string from = directory + '/' + temporary_name;
+    const std::string to = directory + '/' + final_name;
     std::error_code ignored;
-    std::filesystem::create_directories(folder, ignored);
+    std::filesystem::create_directories(directory, ignored);
     {
         const FileDescriptor file(from, O_WRONLY | O_CREAT | O_TRUNC);
         if (!file.is_open()) return system_call_error("can't be made", from);
@@ -65,24 +66,25 @@
     }
     if (::rename(from.c_str(), to.c_str()) != 0) return system_call_error("can't be renamed", from);
     crash_point();
-    const FileDescriptor all(folder, O_RDONLY | O_DIRECTORY);
-    if (!all.is_open() || ::fsync(all.fd()) != 0) return system_call_error("can't be put on disk", folder);
+    const FileDescriptor parent(directory, O_RDONLY | O_DIRECTORY);
+    if (!parent.is_open() || ::fsync(parent.fd()) != 0)
+        return system_call_error("can't be put on disk", directory);
     return {};
 }
 
-ReadStatus read_regular_file(const std::string& path, std::size_t most, std::string& bytes,
-                             std::string& fault) {
-    const FileDescriptor file(path, O_RDONLY | O_NONBLOCK);  // a pipe by that name must not hold us
+ReadStatus read_regular_file(const std::string& path, std::size_t max_size, std::string& bytes,
+                             std::string& error) {
+    const FileDescriptor file(path, O_RDONLY | O_NONBLOCK);  // a pipe of that name must not block
     const bool missing = !file.is_open() && errno == ENOENT;
-    struct stat about {};
-    if (!file.is_open() || ::fstat(file.fd(), &about) != 0) {
-        fault = system_call_error("can't be opened", path);
+    struct stat status {};
+    if (!file.is_open() || ::fstat(file.fd(), &status) != 0) {
+        error = system_call_error("can't be opened", path);
         return missing ? ReadStatus::missing : ReadStatus::unreadable;
     }
-    const auto size = static_cast<std::size_t>(about.st_size);
-    if (!S_ISREG(about.st_mode) || size > most) {
-        fault = S_ISREG(about.st_mode) ? fmt::format("{} has {} bytes, {} at the most", path, size, most)
-                                       : path + " is no plain file";
+    const auto size = static_cast<std::size_t>(status.st_size);
+    if (!S_ISREG(status.st_mode) || size > max_size) {
+        error = S_ISREG(status.st_mode) ? fmt::format("{} has {} bytes, {} at the most", path, size, max_size)
+                                        : path + " is no plain file";
         return ReadStatus::not_regular;
     }
     bytes.resize(size);
@@ -91,7 +93,7 @@
         const ssize_t got = ::read(file.fd(), bytes.data() + have, size - have);
         if (got < 0 && errno == EINTR) continue;
         if (got < 0) {
-            fault = system_call_error("can't be read", path);
+            error = system_call_error("can't be read", path);
             return ReadStatus::unreadable;
         }
         if (got == 0) break;
@@ -101,25 +103,26 @@
     return ReadStatus::ok;
 }
 
-int read_entire_file(const std::string& path, std::size_t most, std::string& text) {
+int read_entire_file(const std::string& path, std::size_t max_size, std::string& text) {
     const FileDescriptor file(path, O_RDONLY);
     if (!file.is_open()) return errno;
-    std::string room(65536, '\0');
+    constexpr std::size_t kBufferBytes = 64 * 1024;
+    std::string buffer(kBufferBytes, '\0');
     text.clear();
     for (;;) {
-        const ssize_t got = ::read(file.fd(), room.data(), room.size());
+        const ssize_t got = ::read(file.fd(), buffer.data(), buffer.size());
         if (got < 0 && errno == EINTR) continue;
         if (got < 0) return errno;
         if (got == 0) return 0;
-        text.append(room, 0, static_cast<std::size_t>(got));
-        if (text.size() > most) return EFBIG;
+        text.append(buffer, 0, static_cast<std::size_t>(got));
+        if (text.size() > max_size) return EFBIG;
     }
 }
 
-DirectoryLock::DirectoryLock(const std::string& folder, const char* name) {
+DirectoryLock::DirectoryLock(const std::string& directory, const char* name) {
     std::error_code ignored;
-    std::filesystem::create_directories(folder, ignored);
-    const std::string path = folder + '/' + name;
+    std::filesystem::create_directories(directory, ignored);
+    const std::string path = directory + '/' + name;
     fd_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (fd_ < 0)
         error_ = system_call_error("can't be opened", path);
--- a/src/base/files.h
+++ b/src/base/files.h
@@ -1,4 +1,4 @@
-// Files that are on disk once they were said to be. All calls block on the disk; none throws.
+// Files that are on disk once a call has reported success. All calls block on the disk; none throws.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace sumackeel::base {
 
-// A descriptor that closes itself.
+// Owns a file descriptor and closes it.
 class FileDescriptor {
   public:
     FileDescriptor(const std::string& path, int flags);
@@ -21,43 +21,50 @@
     int fd_;
 };
 
-// "PATH WHAT: the system's reason".
+// "PATH WHAT: REASON", the reason by errno.
 std::string system_call_error(const char* what, const std::string& path);
 
 #ifdef SUMACKEEL_TEST_KEYS
-// Of test builds: the process ends at the so-manieth point between two system calls of put_in_place and of
-// what removes older files, as a kill there would end it; 0: never.
-void crash_at(int point);
+// For test builds: the process ends at the N-th crash_point() from now, as a kill there would end it; 0:
+// never. The points stand between the system calls of replace_file() and of what removes older files.
+void crash_at(int points_from_now);
 void crash_point();
 #else
 inline void crash_point() {}
 #endif
 
-// Writes `unfinished` in `folder`, which is made if it is missing, and gives it the name `final` once it is
-// on disk. Whatever the moment of a crash, `final` is what it was or what it is to be. Empty: done; else what
-// went wrong.
-std::string replace_file(const std::string& folder, const std::string& unfinished, const std::string& final,
-                         std::string_view bytes);
+// Writes `temporary_name` in `directory`, which is made if it is missing, and renames it to `final_name` once
+// it is on disk. Whatever the moment of a crash, `final_name` has its old or its new content. Empty: done;
+// else what went wrong.
+std::string replace_file(const std::string& directory, const std::string& temporary_name,
+                         const std::string& final_name, std::string_view bytes);
 
-enum class ReadStatus { ok, missing, unreadable, not_regular };  // unfit: no plain file, or too long
+enum class ReadStatus {
+    ok,
+    missing,
+    unreadable,
+    not_regular  // not a regular file, or over the limit
+};
 
-// The bytes of a plain file of `most` bytes at the most; unless it is done, `fault` says what went wrong.
-ReadStatus read_regular_file(const std::string& path, std::size_t most, std::string& bytes,
-                             std::string& fault);
+// Reads a regular file of `max_size` bytes at the most; unless the result is ok, `error` says what went
+// wrong.
+ReadStatus read_regular_file(const std::string& path, std::size_t max_size, std::string& bytes,
+                             std::string& error);
 
-// All that can be read from a file, a pipe or a device, `most` bytes at the most. 0, or an errno; EFBIG: it
-// is longer.
-int read_entire_file(const std::string& path, std::size_t most, std::string& text);
+// Reads a file, a pipe or a device to its end, `max_size` bytes at the most. 0, or an errno; EFBIG: it is
+// longer.
+int read_entire_file(const std::string& path, std::size_t max_size, std::string& text);
 
-// Held for as long as this lives: two programs on one folder would remove each other's generations.
+// An exclusive lock on a directory for as long as this lives: two processes on one directory would remove
+// each other's files.
 class DirectoryLock {
   public:
-    // Makes the folder. `name`: of the lock's file, where several kinds of files share a folder.
-    explicit DirectoryLock(const std::string& folder, const char* name = "lock");
+    // Makes the directory. `name`: of the lock file, where several kinds of files share a directory.
+    explicit DirectoryLock(const std::string& directory, const char* name = "lock");
     ~DirectoryLock();
     DirectoryLock(const DirectoryLock&) = delete;
     DirectoryLock& operator=(const DirectoryLock&) = delete;
-    const std::string& error() const { return error_; }  // empty: it is held
+    const std::string& error() const { return error_; }  // empty: the lock is held
 
   private:
     int fd_ = -1;
--- a/src/base/generation_files.cpp
+++ b/src/base/generation_files.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Behind the prefix: two kinds of files may share a folder, each with a writer of its own.
+// Follows the prefix, as two kinds of files may share a directory, each with a writer of its own.
 constexpr const char* kUnfinished = "unfinished.tmp";
 constexpr std::size_t kDigits = 16;
 
@@ -39,24 +39,27 @@
 }
 
 std::vector<std::uint64_t> GenerationFiles::generations() const {
-    std::vector<std::uint64_t> all;
-    std::error_code fault;
-    for (std::filesystem::directory_iterator it(directory_, fault), end; !fault && it != end;
-         it.increment(fault))
-        if (const auto number = generation_of(it->path().filename().string())) all.push_back(number);
-    std::sort(all.rbegin(), all.rend());
-    return all;
+    std::vector<std::uint64_t> found;
+    std::error_code error;
+    for (std::filesystem::directory_iterator it(directory_, error), end; !error && it != end;
+         it.increment(error))
+        if (const auto number = generation_of(it->path().filename().string())) found.push_back(number);
+    std::sort(found.rbegin(), found.rend());
+    return found;
 }
 
-// Danger: each step only adds until the new generation is on disk under its own name. Whatever the moment of
-// a crash, the folder holds the old generations, or them and the new one; a file half written has no such
+// Each step only adds until the new generation is on disk under its own name. Whatever the moment of a crash,
+// the directory holds the old generations, or them and the new one; a file that is half written has no such
 // name.
 std::string GenerationFiles::write(std::string_view bytes, std::uint64_t generation,
                                    std::uint64_t keep) const {
-    const std::string fault = replace_file(directory_, prefix_ + kUnfinished, name_of(generation), bytes);
-    if (!fault.empty()) return fault;
-    for (const std::uint64_t old : generations())
-        if (old != generation && old != keep) crash_point(), ::unlink(path_of(old).c_str());
+    const std::string error = replace_file(directory_, prefix_ + kUnfinished, name_of(generation), bytes);
+    if (!error.empty()) return error;
+    for (const std::uint64_t old : generations()) {
+        if (old == generation || old == keep) continue;
+        crash_point();
+        ::unlink(path_of(old).c_str());
+    }
     return {};
 }
 
--- a/src/base/generation_files.h
+++ b/src/base/generation_files.h
@@ -1,5 +1,5 @@
-// Files that are kept as generations in a folder: PREFIX-N.SUFFIX with 16 digits, the newest and one good one
-// before it. All calls block on the disk; none throws.
+// Files kept as generations in a directory: PREFIX, 16 digits, SUFFIX; the newest, and one that is known to
+// be good. All calls block on the disk; none throws.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,17 @@
 
     const std::string& directory() const { return directory_; }
     std::string path_of(std::uint64_t generation) const;
-    std::vector<std::uint64_t> generations() const;  // the newest first
-    // Puts a new generation beside `keep`, the last good one, and removes all others: whole or not at all.
-    // Empty: it is on disk; else what went wrong, and the folder is as it was.
+    // The newest first.
+    std::vector<std::uint64_t> generations() const;
+    // Writes a new generation beside `keep`, the last good one, and removes all others. Atomic: an empty
+    // result means that it is on disk, any other says what went wrong, and the directory is as it was.
     std::string write(std::string_view bytes, std::uint64_t generation, std::uint64_t keep) const;
-    // Out of the way, under a name that no generation has.
+    // Renames a bad generation to a name that no generation has.
     void quarantine(std::uint64_t generation) const;
 
   private:
     std::string name_of(std::uint64_t generation) const;
-    std::uint64_t generation_of(const std::string& name) const;  // 0: not the name of one
+    std::uint64_t generation_of(const std::string& name) const;  // 0: not the name of a generation
 
     std::string directory_, prefix_, suffix_;
 };
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -23,12 +23,13 @@
 constexpr std::array<std::string_view, 4> kNames{"debug", "info", "warn", "error"};
 
 constexpr std::size_t kQueuedLines = 1024;
-constexpr std::chrono::milliseconds kLastLines{200}, kLookAgain{2};
+constexpr std::chrono::milliseconds kFlushTimeout{200};
+constexpr std::chrono::milliseconds kFlushPollInterval{2};
 
-// A line that can't be written is lost, nothing else.
+// Lines that can't be written are lost.
 class StandardError final : public spdlog::sinks::base_sink<std::mutex> {
   public:
-    std::uint64_t taken() const { return taken_; }  // lines, written or lost
+    std::uint64_t processed() const { return processed_; }  // lines, written or lost
 
   protected:
     void sink_it_(const spdlog::details::log_msg& line) override {
@@ -39,12 +40,12 @@
             if (written <= 0) break;
             rest.remove_prefix(static_cast<std::size_t>(written));
         }
-        ++taken_;
+        ++processed_;
     }
     void flush_() override {}
 
   private:
-    std::atomic<std::uint64_t> taken_ = 0;
+    std::atomic<std::uint64_t> processed_ = 0;
 };
 
 struct Writer {
@@ -53,16 +54,16 @@
         std::make_shared<spdlog::details::thread_pool>(kQueuedLines, 1);
     std::shared_ptr<spdlog::async_logger> logger = std::make_shared<spdlog::async_logger>(
         "sumackeel", sink, thread, spdlog::async_overflow_policy::overrun_oldest);
-    std::atomic<std::uint64_t> given = 0;
+    std::atomic<std::uint64_t> submitted = 0;
 
     void write(const std::string& line) {
-        ++given;
+        ++submitted;
         logger->log(spdlog::level::critical, line);
     }
-    bool idle() const { return sink->taken() + thread->overrun_counter() >= given; }
+    bool idle() const { return sink->processed() + thread->overrun_counter() >= submitted; }
 };
 
-std::atomic<Writer*> writer = nullptr;  // null: lines are written by whoever says them
+std::atomic<Writer*> writer = nullptr;  // null: lines are written by the calling thread
 
 }  // namespace
 
@@ -70,20 +71,20 @@
     writer = new Writer;
 }
 
-// Danger: a thread that waits in a write can't be joined. It then goes on until the process ends.
+// A thread that is blocked in a write can't be joined; it is left running until the process ends.
 AsyncWriter::~AsyncWriter() {
-    Writer* const mine = writer;
-    const auto latest = std::chrono::steady_clock::now() + kLastLines;
-    while (!mine->idle() && std::chrono::steady_clock::now() < latest)
-        std::this_thread::sleep_for(kLookAgain);
-    if (!mine->idle()) return;
+    Writer* const current = writer;
+    const auto deadline = std::chrono::steady_clock::now() + kFlushTimeout;
+    while (!current->idle() && std::chrono::steady_clock::now() < deadline)
+        std::this_thread::sleep_for(kFlushPollInterval);
+    if (!current->idle()) return;
     writer = nullptr;
-    delete mine;
+    delete current;
 }
 
 std::uint64_t dropped_lines() {
-    const Writer* const mine = writer;
-    return mine ? mine->thread->overrun_counter() : 0;
+    const Writer* const current = writer;
+    return current ? current->thread->overrun_counter() : 0;
 }
 
 bool set_level(std::string_view name) {
@@ -103,18 +104,22 @@
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                         std::chrono::system_clock::now().time_since_epoch())
                         .count();
-    // Danger: fmt::print throws where standard error can't be written, as on a full disk, and most lines are
-    // written from calls out of C. A line that can't be written is lost, nothing else.
+    // Not fmt::print, which throws where standard error can't be written: most lines come from callbacks of C
+    // libraries.
     const std::string line =
         fmt::format("{}.{:03} {} {}\n", ms / 1000, ms % 1000, kNames[static_cast<std::size_t>(level)], text);
-    if (Writer* const mine = writer) return mine->write(line);
+    if (Writer* const current = writer) return current->write(line);
     std::fwrite(line.data(), 1, line.size(), stderr);
 }
 
-bool RateLimitedLogger::turn() {
+bool RateLimitedLogger::admit() {
     const auto now = std::chrono::steady_clock::now();
-    if (last_ != decltype(last_){} && now - last_ < std::chrono::seconds(1)) return ++left_out_, false;
-    last_ = now;
+    const bool first = last_line_ == decltype(last_line_){};
+    if (!first && now - last_line_ < std::chrono::seconds(1)) {
+        ++suppressed_;
+        return false;
+    }
+    last_line_ = now;
     return true;
 }
 
--- a/src/base/run_with_timeout.h
+++ b/src/base/run_with_timeout.h
@@ -1,5 +1,5 @@
-// Work that may never end, such as reading from a disk that hangs, waited for only so long: for the start of
-// the program, before its loop runs.
+// Waits for work that may never end, such as a read from a disk that hangs, for a bounded time. For the start
+// of the program, before its loop runs.
 #pragma once
 
 #include <chrono>
@@ -12,15 +12,15 @@
 
 namespace sumackeel::base {
 
-// Runs `work` on a thread of its own and gives its result; nothing: it was not over within `span`. It then
-// goes on by itself, unheard, so it may hold nothing that dies with the caller. What it throws is thrown
-// here.
+// Runs `work` on a thread of its own and returns its result, or nothing if it takes longer than `timeout`. It
+// then goes on by itself and its result is dropped, so it may reference nothing that dies with the caller.
+// What it throws is thrown here.
 template <typename Work>
-std::optional<std::invoke_result_t<Work>> run_with_timeout(std::chrono::milliseconds span, Work work) {
+std::optional<std::invoke_result_t<Work>> run_with_timeout(std::chrono::milliseconds timeout, Work work) {
     std::packaged_task<std::invoke_result_t<Work>()> task(std::move(work));
     auto result = task.get_future();
     std::thread(std::move(task)).detach();
-    if (result.wait_for(span) != std::future_status::ready) return std::nullopt;
+    if (result.wait_for(timeout) != std::future_status::ready) return std::nullopt;
     return result.get();
 }
 
--- a/src/base/slot_map.h
+++ b/src/base/slot_map.h
@@ -1,5 +1,5 @@
-// A table of numbered slots. A handle names a slot and the generation that it was given out in, so that a
-// handle kept for too long finds nothing instead of somebody else's entry.
+// A table of slots with generations. A handle names a slot and the generation that it was given out in, so
+// that a handle kept for too long finds nothing instead of another entry.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
     bool operator==(const Handle&) const = default;
 
-    // As one number, for others to keep.
+    // As one number, for callers that keep a plain integer.
     std::uint64_t number() const { return (static_cast<std::uint64_t>(slot) << 32) | generation; }
     static Handle of(std::uint64_t number) {
         return {static_cast<std::uint32_t>(number >> 32), static_cast<std::uint32_t>(number)};
--- a/src/base/system_error.cpp
+++ b/src/base/system_error.cpp
@@ -9,33 +9,33 @@
 
 namespace {
 
-// The platform waits 30 s for a process to be ready; one that can't be by then had better end and say why.
-constexpr std::chrono::seconds kStartPatience{20};
-constexpr std::chrono::milliseconds kStartPause{20};
-// Nine in ten processes are to be ready within 10 s of their start.
-constexpr std::chrono::seconds kFolderPatience{5};
+// Under the 30 s within which the platform wants a process to be ready.
+constexpr std::chrono::seconds kStartupRetryTime{20};
+constexpr std::chrono::milliseconds kRetryPause{20};
+// Under the 10 s within which nine in ten processes are to be ready.
+constexpr std::chrono::seconds kDirectoryRetryTime{5};
 
 }  // namespace
 
 int retry_at_startup(const std::function<int()>& attempt) {
-    const auto until = std::chrono::steady_clock::now() + kStartPatience;
-    log::RateLimitedLogger line;
+    const auto until = std::chrono::steady_clock::now() + kStartupRetryTime;
+    log::RateLimitedLogger logger;
     for (;;) {
         const int result = attempt();
         if (result == 0 || !is_transient(result) || std::chrono::steady_clock::now() >= until) return result;
-        line.warn("the start waits: {}", describe_error(result));
-        std::this_thread::sleep_for(kStartPause);
+        logger.warn("startup: retrying error={}", describe_error(result));
+        std::this_thread::sleep_for(kRetryPause);
     }
 }
 
 std::string retry_directory_at_startup(const std::function<std::string()>& attempt) {
-    const auto until = std::chrono::steady_clock::now() + kFolderPatience;
-    log::RateLimitedLogger line;
+    const auto until = std::chrono::steady_clock::now() + kDirectoryRetryTime;
+    log::RateLimitedLogger logger;
     for (;;) {
-        std::string fault = attempt();
-        if (fault.empty() || std::chrono::steady_clock::now() >= until) return fault;
-        line.warn("the start waits: {}", fault);
-        std::this_thread::sleep_for(kStartPause);
+        std::string error = attempt();
+        if (error.empty() || std::chrono::steady_clock::now() >= until) return error;
+        logger.warn("startup: retrying error={}", error);
+        std::this_thread::sleep_for(kRetryPause);
     }
 }
 
--- a/src/base/system_error.h
+++ b/src/base/system_error.h
@@ -1,4 +1,4 @@
-// Errors of system calls: which of them pass by themselves, and their names for the log.
+// Errors of system calls: which of them are transient, their names for the log, and retries at startup.
 #pragma once
 
 #include <cerrno>
@@ -9,8 +9,8 @@
 
 namespace sumackeel::base {
 
-// Whether the same call may succeed a moment later with nothing changed here: a shortage of descriptors,
-// buffers or memory, or a signal. `error` is an errno, or the negative of one as libuv gives it.
+// Whether the same call may succeed a moment later: a shortage of descriptors, buffers or memory, or a
+// signal. `error` is an errno, or the negative of one as libuv reports it.
 inline bool is_transient(int error) {
     switch (error < 0 ? -error : error) {
         case EINTR:
@@ -32,15 +32,15 @@
     return std::string(name ? name : "error") + " (" + strerrordesc_np(number) + ')';
 }
 
-// The same for a folder at a start: it may also fail for a while and heal. Calls `attempt` until it says that
-// nothing is wrong, for `kFolderPatience` at the most, and gives what the last call said.
+// The same for a directory, which may fail for a while and heal. Calls `attempt` until it returns an empty
+// text, for 5 s at the most, and returns the last result. Blocks between the calls.
 std::string retry_directory_at_startup(const std::function<std::string()>& attempt);
 
-// A folder that has not answered by then at a start hangs: retry_folder_at_start() would have given up.
+// A directory that has not answered by then hangs: retry_directory_at_startup() would have given up.
 constexpr std::chrono::seconds kDirectoryResponseTimeout{6};
 
-// Calls `attempt` until it gives 0 or an error that is not transient, for `kStartPatience` at the most.
-// Blocks between the calls, so it is for the start of the program alone. Gives what the last call gave.
+// Calls `attempt` until it returns 0 or an error that is not transient, for 20 s at the most, and returns the
+// last result. Blocks between the calls, so it is for the start of the program alone.
 int retry_at_startup(const std::function<int()>& attempt);
 
 }  // namespace sumackeel::base
