--- a/bench/growth.py
+++ b/bench/growth.py
@@ -7,9 +7,7 @@
 """
 import argparse
 import os
-import resource
 import socket
-import subprocess
 import sys
 import threading
 import time
--- a/bench/restart.py
+++ b/bench/restart.py
@@ -14,7 +14,6 @@
 import shutil
 import signal
 import struct
-import sys
 import tempfile
 import time
 
--- a/tests/faults/faults_test.py
+++ b/tests/faults/faults_test.py
@@ -8,7 +8,6 @@
 import signal
 import socket
 import subprocess
-import tempfile
 import threading
 import time
 from collections import Counter
--- /dev/null
+++ b/tests/fleet/harness/steps/__init__.py
@@ -0,0 +1,15 @@
+"""One function for each step that a scenario may have; the keys beside `do` are its arguments."""
+from .consensus import ConsensusSteps
+from .discovery import DiscoverySteps
+from .inspection import InspectionSteps
+from .kv_store import KvStoreSteps
+from .leases import LeasesSteps
+from .links import LinksSteps
+from .membership import MembershipSteps
+from .processes import ProcessesSteps
+from .recovery import RecoverySteps
+from .releases import ReleasesSteps
+
+
+class Steps(ConsensusSteps, DiscoverySteps, InspectionSteps, KvStoreSteps, LeasesSteps, LinksSteps, MembershipSteps, ProcessesSteps, RecoverySteps, ReleasesSteps):
+    """All steps of a scenario."""
