--- a/src/endpoint_snapshot/snapshot_writer.cpp
+++ b/src/endpoint_snapshot/snapshot_writer.cpp
@@ -86,7 +86,7 @@
     // Never from within the call: what comes in one turn, such as a list and the word that it is sure, goes
     // into one write.
     const Micros at = std::max(started_ + wait, now + kGather);
-    if (next_start_ && next_start_->first <= at) return;  // put off by each change it would never come
+    if (next_start_ && next_start_->due_at <= at) return;  // put off by each change it would never come
     if (next_start_) loop_.timers().cancel(*next_start_);
     next_start_ = loop_.timers().schedule(at, [this] {
         next_start_.reset();
--- a/src/net/background_task.cpp
+++ b/src/net/background_task.cpp
@@ -7,8 +7,9 @@
 
 struct BackgroundTask::Job {
     uv_work_t work{};
-    BackgroundTask* owner;  // null: it is gone
-    std::function<void()> task, done;
+    BackgroundTask* owner;  // null: destroyed
+    std::function<void()> task;
+    std::function<void()> done;
 };
 
 BackgroundTask::~BackgroundTask() {
@@ -16,7 +17,7 @@
 }
 
 void BackgroundTask::run(std::function<void()> work, std::function<void()> done) {
-    began_ = loop_.clock().now();
+    started_at_ = loop_.clock().now();
     job_ = new Job{{}, this, std::move(work), std::move(done)};
     job_->work.data = job_;
     uv_queue_work(
@@ -24,7 +25,7 @@
         [](uv_work_t* work, int) {
             const std::unique_ptr<Job> job(static_cast<Job*>(work->data));
             if (!job->owner) return;
-            job->owner->last_took_ = job->owner->running_for();
+            job->owner->last_duration_ = job->owner->running_for();
             job->owner->job_ = nullptr;
             job->done();
         });
--- a/src/net/background_task.h
+++ b/src/net/background_task.h
@@ -1,4 +1,4 @@
-// Work that may wait for a disk, done on a thread of libuv's pool so that the loop never does.
+// Work that may wait for a disk, run on a thread of libuv's pool so that the loop never waits.
 #pragma once
 
 #include <functional>
@@ -7,8 +7,8 @@
 
 namespace sumackeel::net {
 
-// One piece of work at a time. What is under way when this is destroyed ends by itself, unheard, also where
-// its disk hangs; so `work` may hold nothing that dies with the owner.
+// One piece of work at a time. What is running when this is destroyed goes on by itself, also where its disk
+// hangs, and its result is dropped; so `work` may reference nothing that dies with the owner.
 class BackgroundTask {
   public:
     explicit BackgroundTask(Loop& loop) : loop_(loop) {}
@@ -17,19 +17,20 @@
     BackgroundTask& operator=(const BackgroundTask&) = delete;
 
     bool busy() const { return job_ != nullptr; }
-    Micros last_duration() const { return last_took_; }
-    Micros running_for() const { return busy() ? loop_.clock().now() - began_ : 0; }
-    // The work has been under way for longer than a disk that works takes.
+    Micros last_duration() const { return last_duration_; }
+    Micros running_for() const { return busy() ? loop_.clock().now() - started_at_ : 0; }
+    // The work has been running for longer than a working disk takes.
     bool is_stuck() const { return running_for() > kStuckAfter; }
-    static constexpr Micros kStuckAfter = 100'000;
-    // Not while busy. `work` may not throw; `done` is called on the loop, where more work may be given.
+    static constexpr Micros kStuckAfter = 100'000;  // us
+    // Not while busy. `work` must not throw; `done` is called on the loop and may start the next work.
     void run(std::function<void()> work, std::function<void()> done);
 
   private:
     struct Job;
     Loop& loop_;
     Job* job_ = nullptr;
-    Micros began_ = 0, last_took_ = 0;
+    Micros started_at_ = 0;
+    Micros last_duration_ = 0;
 };
 
 }  // namespace sumackeel::net
--- a/src/net/latest_value_writer.cpp
+++ b/src/net/latest_value_writer.cpp
@@ -10,55 +10,58 @@
 
 namespace {
 
-constexpr Micros kTryAgain = 100'000;
+constexpr Micros kRetryInterval = 100'000;  // us
 
 }  // namespace
 
-LatestValueWriter::LatestValueWriter(Loop& loop, std::string name, Write put)
-    : loop_(loop), name_(std::move(name)), put_(std::move(put)), writes_(loop) {}
+LatestValueWriter::LatestValueWriter(Loop& loop, std::string name, Write write)
+    : loop_(loop), name_(std::move(name)), write_(std::move(write)), writes_(loop) {}
 
 LatestValueWriter::~LatestValueWriter() {
-    if (again_) loop_.timers().cancel(*again_);
+    if (retry_timer_) loop_.timers().cancel(*retry_timer_);
 }
 
 void LatestValueWriter::store(std::string text) {
     text_ = std::move(text);
     dirty_ = true;
-    if (!writes_.busy()) write();
+    if (!writes_.busy()) start_write();
 }
 
 std::string LatestValueWriter::unwritten_reason() const {
     if (!has_unwritten()) return {};
-    return fault_.empty() ? name_ + ": the disk has not answered yet" : fault_;
+    return last_error_.empty() ? name_ + ": the disk has not answered yet" : last_error_;
 }
 
-void LatestValueWriter::write() {
-    if (again_) loop_.timers().cancel(*again_);
-    again_.reset();
+void LatestValueWriter::start_write() {
+    if (retry_timer_) loop_.timers().cancel(*retry_timer_);
+    retry_timer_.reset();
     dirty_ = false;
-    const auto fault = std::make_shared<std::string>();
-    writes_.run([put = put_, text = text_, fault] { *fault = put(text); }, [this, fault] { done(*fault); });
+    const auto error = std::make_shared<std::string>();
+    writes_.run([write = write_, text = text_, error] { *error = write(text); },
+                [this, error] { on_written(*error); });
 }
 
-void LatestValueWriter::done(const std::string& fault) {
+void LatestValueWriter::on_written(const std::string& error) {
     longest_write_ = std::max(longest_write_, writes_.last_duration());
-    if (fault.empty()) ++written_;
-    if (!fault.empty() && fault_.empty()) log::warn("{} not kept yet, trying again: {}", name_, fault);
-    if (fault.empty() && !fault_.empty()) log::info("{} kept again", name_);
-    fault_ = fault;
-    if (!fault.empty()) {
+    const bool failed = !error.empty();
+    const bool failed_before = !last_error_.empty();
+    if (!failed) ++written_;
+    if (failed && !failed_before) log::warn("{}: write failed, retrying error={}", name_, error);
+    if (!failed && failed_before) log::info("{}: written again", name_);
+    last_error_ = error;
+    if (failed) {
         dirty_ = true;
-        try_later();
+        retry_later();
     } else if (dirty_) {
-        write();
+        start_write();
     }
-    if (settled_) settled_();
+    if (write_finished_) write_finished_();
 }
 
-void LatestValueWriter::try_later() {
-    again_ = loop_.timers().schedule(loop_.clock().now() + kTryAgain, [this] {
-        again_.reset();
-        if (!writes_.busy()) write();
+void LatestValueWriter::retry_later() {
+    retry_timer_ = loop_.timers().schedule(loop_.clock().now() + kRetryInterval, [this] {
+        retry_timer_.reset();
+        if (!writes_.busy()) start_write();
     });
 }
 
--- a/src/net/latest_value_writer.h
+++ b/src/net/latest_value_writer.h
@@ -1,4 +1,4 @@
-// Keeps the newest of a series of texts on disk, off the loop: what was told is owed until it is there.
+// Keeps the newest of a series of texts on disk, written off the loop and retried until it is there.
 #pragma once
 
 #include <functional>
@@ -11,46 +11,47 @@
 
 class LatestValueWriter {
   public:
-    // Puts a text on disk, on another thread, and so holds nothing that dies with the owner. Empty: done;
-    // else what went wrong.
+    // Writes a text to disk, on another thread, so it may reference nothing that dies with the owner. Empty:
+    // done; else what went wrong.
     using Write = std::function<std::string(const std::string& text)>;
 
-    // `name`: what is kept, for the log.
-    LatestValueWriter(Loop& loop, std::string name, Write put);
+    // `name`: of what is written, for the log and for unwritten_reason().
+    LatestValueWriter(Loop& loop, std::string name, Write write);
     ~LatestValueWriter();
     LatestValueWriter(const LatestValueWriter&) = delete;
     LatestValueWriter& operator=(const LatestValueWriter&) = delete;
 
-    // Takes the place of what is not on disk yet. A write that fails is tried again until it is done.
+    // Replaces what is not on disk yet. A write that fails is retried until it succeeds.
     void store(std::string text);
-    // Called after each write, whether it went well or not.
-    void on_write_finished(std::function<void()> what) { settled_ = std::move(what); }
+    // `callback` is called after each write, failed or not.
+    void on_write_finished(std::function<void()> callback) { write_finished_ = std::move(callback); }
 
-    bool has_unwritten() const { return writes_.busy() || dirty_; }  // something is not on disk yet
+    bool has_unwritten() const { return writes_.busy() || dirty_; }  // the newest is not on disk yet
     bool writing() const { return writes_.busy(); }
     bool outcome_unknown() const {
-        return has_unwritten() && fault_.empty();
-    }  // and no write of it has failed so far
-    Micros write_running_for() const { return writes_.running_for(); }  // since the write under way began
-    std::string unwritten_reason() const;  // why not all is on disk yet; empty: it is
+        return has_unwritten() && last_error_.empty();
+    }                                                                   // and no write of it has failed
+    Micros write_running_for() const { return writes_.running_for(); }  // the write in progress; 0: none
+    std::string unwritten_reason() const;  // why it is not on disk yet; empty: it is
     std::uint64_t written() const { return written_; }
     Micros longest_write() const { return longest_write_; }
 
   private:
-    void write();
-    void done(const std::string& fault);
-    void try_later();
+    void start_write();
+    void on_written(const std::string& error);
+    void retry_later();
 
     Loop& loop_;
     std::string name_;
-    Write put_;
+    Write write_;
     BackgroundTask writes_;
-    std::function<void()> settled_;
-    std::string text_, fault_;  // the newest, and how the last write failed
-    bool dirty_ = false;        // the newest is in no write that is under way or done
+    std::function<void()> write_finished_;
+    std::string text_;        // the newest
+    std::string last_error_;  // of the last write; empty: it succeeded
+    bool dirty_ = false;      // the newest is in no write that is in progress or done
     std::uint64_t written_ = 0;
     Micros longest_write_ = 0;
-    std::optional<base::TimerQueue::Key> again_;
+    std::optional<base::TimerQueue::Key> retry_timer_;
 };
 
 }  // namespace sumackeel::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The libuv loop with the deadlines swept each turn, and the budget of descriptors.
+// The libuv loop with its timers and clock, and the budget of sockets.
 #pragma once
 
 #include <uv.h>
@@ -6,6 +6,7 @@
 #include <cstddef>
 #include <functional>
 #include <memory>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
@@ -16,6 +17,12 @@
 
 using base::Micros;
 
+// The event loop can't be made; the text says why.
+class LoopError : public std::runtime_error {
+  public:
+    using std::runtime_error::runtime_error;
+};
+
 class Loop {
   public:
     Loop();
@@ -28,57 +35,67 @@
     uv_loop_t* raw() { return &loop_; }
     base::Clock& clock() { return clock_; }
     base::TimerQueue& timers() { return timers_; }
-    // What is read goes here, and is used up before the next read. Danger: shared between loops, bytes of one
-    // loop's connection would be taken for another's.
+    // Bytes read from a socket; consumed before the next read. One for each loop: shared between loops, bytes
+    // of one connection would be taken for another's.
     std::vector<char>& read_buffer() { return read_buffer_; }
-    // What becomes readable in this turn arrived after this moment: the turn before had looked by then.
-    Micros last_poll_at() const { return previous_look_; }
-    // For how long this turn has been at work: what came since it began is not read yet.
+    // What becomes readable in this iteration arrived after this moment: the iteration before had polled by
+    // then.
+    Micros last_poll_at() const { return previous_poll_at_; }
+    // How long this iteration has been running: what arrived since it began is not read yet.
     Micros iteration_age() const { return static_cast<Micros>(uv_hrtime() / 1'000 - uv_now(&loop_) * 1'000); }
-    // Called at the end of each turn, after the deadlines.
-    void on_each_iteration(std::function<void()> what) { turns_.push_back(std::move(what)); }
+    // `callback` is called at the end of each iteration, after the timers.
+    void on_each_iteration(std::function<void()> callback) {
+        iteration_callbacks_.push_back(std::move(callback));
+    }
 
   private:
-    void turn();
-    void arm();
-    bool catches_up();
+    void run_iteration();
+    void arm_timer();
+    bool is_catching_up();
 
     uv_loop_t loop_;
     uv_timer_t timer_;
     uv_prepare_t prepare_;
     uv_check_t check_;
     base::Clock clock_;
-    int catching_up_ = 0;                  // turns that may still be spent on reading alone
-    Micros seen_stalled_ = 0;              // of the clock's stalled()
-    Micros look_ = 0, previous_look_ = 0;  // when this turn and the one before began to wait for events
+    int catch_up_iterations_ = 0;  // that may still be spent on reading alone
+    Micros seen_stall_time_ = 0;   // of the clock's total_stall_time()
+    Micros poll_at_ = 0;           // when this iteration began to wait for events
+    Micros previous_poll_at_ = 0;  // and the one before
     base::TimerQueue timers_;
-    std::vector<std::function<void()>> turns_;
-    std::vector<char> read_buffer_ = std::vector<char>(256 * 1024);
+    std::vector<std::function<void()>> iteration_callbacks_;
+    static constexpr std::size_t kReadBufferBytes = 256 * 1024;
+    std::vector<char> read_buffer_ = std::vector<char>(kReadBufferBytes);
 };
 
-// Sockets that may still be opened, and the bytes given to them that are not sent. At its end things are
-// refused, never broken.
+// Sockets that may still be opened, and the bytes written to them that are not sent. At the limit new sockets
+// are refused, open ones go on.
 class SocketBudget {
   public:
-    explicit SocketBudget(int most) : shared_(std::make_shared<Shared>(most)) {}
-    bool acquire() { return shared_->used < shared_->most ? ++shared_->used, true : false; }
+    explicit SocketBudget(int limit) : shared_(std::make_shared<Shared>(limit)) {}
+    bool acquire() {
+        if (shared_->used >= shared_->limit) return false;
+        ++shared_->used;
+        return true;
+    }
     void release() { --shared_->used; }
-    void unsent_bytes(std::ptrdiff_t more) { shared_->unsent += more; }
+    void unsent_bytes(std::ptrdiff_t change) { shared_->unsent += change; }
     std::size_t unsent_bytes() const { return static_cast<std::size_t>(shared_->unsent); }
-    void set_limit(int most) { shared_->most = most; }
-    int limit() const { return shared_->most; }
-    int available() const { return shared_->most - shared_->used; }
+    void set_limit(int limit) { shared_->limit = limit; }
+    int limit() const { return shared_->limit; }
+    int available() const { return shared_->limit - shared_->used; }
 
   private:
     struct Shared {
-        explicit Shared(int m) : most(m) {}
-        int most, used = 0;
+        explicit Shared(int max_sockets) : limit(max_sockets) {}
+        int limit;
+        int used = 0;
         std::ptrdiff_t unsent = 0;
     };
-    std::shared_ptr<Shared> shared_;  // by copies: sockets close after their holders are gone
+    std::shared_ptr<Shared> shared_;  // by all copies: sockets close after their owners are gone
 };
 
-// "10.0.0.4:9090" as a socket address; false: it is none.
+// Parses "10.0.0.4:9090"; false: it is no IPv4 address with a port.
 bool parse_address(const std::string& text, sockaddr_in& address);
 
 }  // namespace sumackeel::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -22,38 +22,39 @@
 
 }  // namespace
 
-Stream::Stream(Loop& loop, SocketBudget& budget, Handler& owner) : budget_(budget), handler_(&owner) {
+Stream::Stream(Loop& loop, SocketBudget& budget, Handler& handler) : budget_(budget), handler_(&handler) {
     uv_tcp_init(loop.raw(), &tcp_);
     tcp_.data = this;
-    connecting_.data = this;
-    finishing_.data = this;
+    connect_request_.data = this;
+    shutdown_request_.data = this;
 }
 
-Stream* Stream::connect(Loop& loop, SocketBudget& budget, const sockaddr_in& to, Handler& owner, int* why) {
-    if (why) *why = 0;
+Stream* Stream::connect(Loop& loop, SocketBudget& budget, const sockaddr_in& to, Handler& handler,
+                        int* error) {
+    if (error) *error = 0;
     if (!budget.acquire()) return nullptr;
-    auto* stream = new Stream(loop, budget, owner);
+    auto* stream = new Stream(loop, budget, handler);
     const int failed =
-        uv_tcp_connect(&stream->connecting_, &stream->tcp_, reinterpret_cast<const sockaddr*>(&to),
+        uv_tcp_connect(&stream->connect_request_, &stream->tcp_, reinterpret_cast<const sockaddr*>(&to),
                        [](uv_connect_t* request, int status) {
                            auto* self = static_cast<Stream*>(request->data);
                            if (self->state_ == State::closed) return;
-                           if (status != 0) return self->lose(DisconnectCause::connect_failed);
+                           if (status != 0) return self->disconnect(DisconnectCause::connect_failed);
                            self->start();
                            self->handler_->on_open(*self);
                        });
     if (failed == 0) return stream;
-    if (why) *why = failed;
+    if (error) *error = failed;
     stream->close();
     return nullptr;
 }
 
-Stream* Stream::adopt(Loop& loop, SocketBudget& budget, int fd, Handler& owner) {
+Stream* Stream::adopt(Loop& loop, SocketBudget& budget, int fd, Handler& handler) {
     if (!budget.acquire()) {
         ::close(fd);
         return nullptr;
     }
-    auto* stream = new Stream(loop, budget, owner);
+    auto* stream = new Stream(loop, budget, handler);
     if (uv_tcp_open(&stream->tcp_, fd) != 0) {
         ::close(fd);
         stream->close();
@@ -70,7 +71,7 @@
 }
 
 void Stream::pause(bool on) {
-    const bool can_read = state_ == State::open || state_ == State::finishing;
+    const bool can_read = state_ == State::open || state_ == State::shutting_down;
     if (!can_read || reading_ == !on) return;
     reading_ = !on;
     if (on) {
@@ -80,21 +81,22 @@
     uv_read_start(
         as_stream(),
         [](uv_handle_t* handle, std::size_t, uv_buf_t* buffer) {
-            auto& room = static_cast<Loop*>(handle->loop->data)->read_buffer();
-            *buffer = uv_buf_init(room.data(), static_cast<unsigned>(room.size()));
+            auto& bytes = static_cast<Loop*>(handle->loop->data)->read_buffer();
+            *buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
         },
         [](uv_stream_t* handle, ssize_t count, const uv_buf_t* buffer) {
             auto* self = static_cast<Stream*>(handle->data);
             if (self->state_ == State::closed || count == 0) return;
             if (count < 0)
-                return self->lose(count == UV_EOF ? DisconnectCause::closed_by_peer : DisconnectCause::error);
-            if (self->state_ == State::finishing) return;
+                return self->disconnect(count == UV_EOF ? DisconnectCause::closed_by_peer
+                                                        : DisconnectCause::error);
+            if (self->state_ == State::shutting_down) return;
             try {
                 self->handler_->on_data(*self, {buffer->base, static_cast<std::size_t>(count)});
-            } catch (const std::exception& wrong) {
-                thread_local log::RateLimitedLogger line;
-                line.warn("connection dropped: {}", wrong.what());
-                if (self->state_ != State::closed) self->lose(DisconnectCause::error);
+            } catch (const std::exception& error) {
+                thread_local log::RateLimitedLogger logger;
+                logger.warn("stream: connection dropped error={}", error.what());
+                if (self->state_ != State::closed) self->disconnect(DisconnectCause::error);
             }
         });
 }
@@ -113,29 +115,30 @@
             self->budget_.unsent_bytes(-static_cast<std::ptrdiff_t>(done->bytes.size()));
             delete done;
             if (self->state_ == State::closed) return;
-            if (status != 0) return self->lose(DisconnectCause::error);
+            if (status != 0) return self->disconnect(DisconnectCause::error);
             if (self->state_ == State::open) self->handler_->on_write_drained(*self);
         });
     if (failed != 0) {
         delete write;
         budget_.unsent_bytes(-size);
-        // The read side tells of the broken connection; from here it would come in the middle of a call.
+        // The read side reports the broken connection; reported from here it would come in the middle of a
+        // call.
     }
 }
 
 void Stream::write_immediately(std::string_view bytes) {
     if (state_ != State::open) return;
-    // libuv does not change what it writes.
+    // libuv does not modify what it writes.
     const uv_buf_t buffer = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
     const int taken = uv_try_write(as_stream(), &buffer, 1);
     bytes.remove_prefix(taken > 0 ? static_cast<std::size_t>(taken) : 0);
     if (!bytes.empty()) write(std::string(bytes));
 }
 
-void Stream::lose(DisconnectCause how) {
-    Handler* owner = handler_;
+void Stream::disconnect(DisconnectCause cause) {
+    Handler* handler = handler_;
     close();
-    owner->on_close(*this, how);
+    handler->on_close(*this, cause);
 }
 
 void Stream::close() {
@@ -145,7 +148,7 @@
         auto* self = static_cast<Stream*>(handle->data);
         delete self;
     });
-    budget_.release();  // libuv gives the descriptor back within uv_close
+    budget_.release();  // libuv closes the descriptor within uv_close
 }
 
 bool Stream::has_unread_data() const {
@@ -166,9 +169,9 @@
     uv_os_fd_t fd = -1;
     tcp_info info{};
     socklen_t length = sizeof info;
-    const bool told = uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp_), &fd) == 0 &&
-                      getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &length) == 0;
-    return told ? Micros{info.tcpi_last_data_recv} * base::kMillisecond : 0;
+    const bool known = uv_fileno(reinterpret_cast<const uv_handle_t*>(&tcp_), &fd) == 0 &&
+                       getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &length) == 0;
+    return known ? Micros{info.tcpi_last_data_recv} * base::kMillisecond : 0;
 }
 
 bool Stream::peer_has_closed() const {
@@ -184,17 +187,17 @@
 }
 
 void Stream::shutdown() {
-    if (state_ == State::closed || state_ == State::finishing) return;
-    if (state_ == State::connecting) return lose(DisconnectCause::closed_by_peer);
-    state_ = State::finishing;
-    // Danger: libuv half-closes in a later turn. What comes until then would be thrown away, though its
-    // sender could not know of the end yet.
+    if (state_ == State::closed || state_ == State::shutting_down) return;
+    if (state_ == State::connecting) return disconnect(DisconnectCause::closed_by_peer);
+    state_ = State::shutting_down;
+    // libuv half-closes in a later iteration. What arrives until then would be discarded, though its sender
+    // could not know of the close yet.
     if (unsent_bytes() == 0 && half_close()) return pause(false);
-    const int failed = uv_shutdown(&finishing_, as_stream(), [](uv_shutdown_t* request, int status) {
+    const int failed = uv_shutdown(&shutdown_request_, as_stream(), [](uv_shutdown_t* request, int status) {
         auto* self = static_cast<Stream*>(request->data);
-        if (self->state_ != State::closed && status != 0) self->lose(DisconnectCause::error);
+        if (self->state_ != State::closed && status != 0) self->disconnect(DisconnectCause::error);
     });
-    if (failed != 0) return lose(DisconnectCause::error);
+    if (failed != 0) return disconnect(DisconnectCause::error);
     pause(false);
 }
 
