--- a/src/routing/cache_ranking.h
+++ b/src/routing/cache_ranking.h
@@ -1,45 +1,31 @@
-// Candidate choice: the pop caches of the own zone as a compact table, and their order for one request.
-//
-// A list may name thousands of pop caches, and every request is ranked over those of its zone. So what the
-// ranking reads of each stands side by side here, and the order is sorted only as far as it is read.
+// Caches in the order of their scores for one request, sorted only as far as the order is read.
 #pragma once
 
 #include <algorithm>
 #include <cstddef>
-#include <cstdint>
-#include <utility>
 #include <vector>
 
-#include "routing/state.h"
+#include "routing/target.h"
 
 namespace sumackeel::routing {
 
-// What ranking needs of one pop cache that may be used. `warm` and `open` mirror what its Target says.
-struct ZoneCache {
-    std::uint64_t hash = 0;
-    double weight = 0;
-    Target* target = nullptr;
-    bool warm = false;  // takes its whole weight: not in slow start, and no window reaches back into it
-    bool open = false;  // its circuit breaker is open
-};
-
-// Pop caches with their scores, highest first.
-class Ranking {
+class CacheRanking {
   public:
     void add(double score, Target* target) { entries_.push_back({score, target}); }
     std::size_t size() const { return entries_.size() + (front_ ? 1 : 0); }
     bool empty() const { return size() == 0; }
 
-    Target* at(std::size_t place) {
-        if (front_ && place == 0) return front_;
-        if (front_) --place;
-        while (place >= sorted_) sort_more();
-        return entries_[place].target;
+    // The cache with the highest score but `index`; `index` is below size().
+    Target* at(std::size_t index) {
+        if (front_ && index == 0) return front_;
+        if (front_) --index;
+        while (index >= sorted_) sort_more();
+        return entries_[index].target;
     }
 
     bool contains(const Target* target) const { return target && find(target) != entries_.end(); }
 
-    // The one that is asked first, whatever its score; it has to be contained.
+    // Puts a contained target first, whatever its score.
     void move_to_front(Target* target) {
         const auto found = find(target);
         if (found - entries_.begin() < static_cast<std::ptrdiff_t>(sorted_)) --sorted_;
@@ -52,7 +38,7 @@
         double score;
         Target* target;
     };
-    static constexpr std::size_t kFirstSorted = 4;  // most requests look no further
+    static constexpr std::size_t kFirstSorted = 4;  // most requests read no further
 
     std::vector<Entry>::const_iterator find(const Target* target) const {
         return std::ranges::find(entries_, target, &Entry::target);
@@ -68,7 +54,7 @@
     }
 
     std::vector<Entry> entries_;
-    std::size_t sorted_ = 0;  // so many of the first are in order
+    std::size_t sorted_ = 0;  // number of leading entries that are in order
     Target* front_ = nullptr;
 };
 
--- /dev/null
+++ b/src/routing/purge_log.cpp
@@ -0,0 +1,46 @@
+#include "routing/purge_log.h"
+
+#include <algorithm>
+
+namespace sumackeel::routing {
+namespace {
+
+std::string object_key(const std::string& object) {
+    return "object " + object;
+}
+
+std::string group_key(int purge_group) {
+    return "group " + std::to_string(purge_group);
+}
+
+}  // namespace
+
+void PurgeLog::record(const Purge& purge) {
+    const std::string key = purge.object.empty() ? group_key(purge.purge_group) : object_key(purge.object);
+    Micros& at = purged_at_.touch(key);
+    at = std::max(at, context_.now - purge.age);
+}
+
+Micros PurgeLog::purged_at(const Request& request) const {
+    const Micros* object = purged_at_.find(object_key(request.arrival.object));
+    const Micros* group = purged_at_.find(group_key(request.arrival.purge_group));
+    return std::max(object ? *object : 0, group ? *group : 0);
+}
+
+Micros PurgeLog::max_age(const Request& request, bool accepts_stale) const {
+    const ClassSettings& service = class_of(context_.settings, request);
+    const Micros age = accepts_stale ? service.freshness_lifetime + service.stale_grace : 0;
+    const Micros purged = purged_at(request);
+    if (purged == 0) return age;
+    // At least 1: 0 would accept any copy within the class's freshness lifetime.
+    const Micros since = std::max<Micros>(1, context_.now - purged);
+    const Micros limit = age > 0 ? age : service.freshness_lifetime;
+    return limit > 0 ? std::min(limit, since) : since;
+}
+
+void PurgeLog::sweep() {
+    purged_at_.sweep(
+        [&](Micros at) { return context_.now - at > 2 * context_.settings.purge_completes_within; });
+}
+
+}  // namespace sumackeel::routing
--- /dev/null
+++ b/src/routing/transfer_time.cpp
@@ -0,0 +1,40 @@
+#include "routing/transfer_time.h"
+
+#include <algorithm>
+
+namespace sumackeel::routing {
+namespace {
+
+// Before any size is known, so many requests of half the latency objective stand for the class: the first
+// sizes may be unusual ones.
+constexpr double kInitialSamples = 5;
+
+}  // namespace
+
+TransferTimes::TransferTimes(const DecisionContext& context) : context_(context) {
+    for (const ClassSettings& service : context.settings.classes)
+        sums_.push_back(
+            {kInitialSamples * 0.5 * static_cast<double>(service.latency_objective), kInitialSamples});
+}
+
+double TransferTimes::record(const RequestReceived& arrival) {
+    const double rate = context_.settings.transfer_rate_kb_per_s;
+    if (arrival.size_kb <= 0 || rate <= 0) return mean_of_class(arrival.class_index);
+    const double duration = arrival.size_kb / rate * kSecond;
+    Sum& sum = sums_[arrival.class_index];
+    sum.total += duration;
+    sum.count += 1;
+    return duration;
+}
+
+double TransferTimes::mean_of_class(int class_index) const {
+    return sums_[class_index].total / sums_[class_index].count;
+}
+
+double TransferTimes::largest_mean() const {
+    double largest = 0;
+    for (const Sum& sum : sums_) largest = std::max(largest, sum.total / sum.count);
+    return largest;
+}
+
+}  // namespace sumackeel::routing
