--- a/bench/power_loss.cpp
+++ b/bench/power_loss.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr Micros kStep = 100 * kMs;
+constexpr Micros kStep = 100 * kMillisecond;
 constexpr int kSeconds = 90;
 double kOriginFills = 400, kBudget = 200, kHubs = 1'500, kAsks = 1'000, kOver = 30, kBears = 0;
 
@@ -76,20 +76,21 @@
 };
 
 std::vector<double> play(int routers, bool with, bool print) {
-    FleetOptions shape;
-    shape.routers = routers;
-    shape.origin_fills_per_s = kOriginFills;
-    shape.asks_per_s = kAsks;
-    shape.origin_bears = static_cast<Micros>(kBears * 1e6);
-    FleetEmulator fleet(shape);
+    FleetOptions options;
+    options.routers = routers;
+    options.origin_fills_per_s = kOriginFills;
+    options.requests_per_s = kAsks;
+    options.origin_max_wait = static_cast<Micros>(kBears * 1e6);
+    FleetEmulator fleet(options);
     fleet.run_for(15 * kSecond);
     fleet.totals = {};
     fleet.run_for(5 * kSecond);
     const double before = fleet.totals.in_time / 5.0;
     Ladders all(fleet, static_cast<std::size_t>(routers));
     if (with) {
-        fleet.ready = [&](std::size_t i) { return all.ladders[i].ready(); };
-        fleet.answered = [&](std::size_t i, const std::string& object, sumackeel::routing::CacheStatus note) {
+        fleet.is_ready = [&](std::size_t i) { return all.ladders[i].ready(); };
+        fleet.on_served = [&](std::size_t i, const std::string& object,
+                              sumackeel::routing::CacheStatus note) {
             using sumackeel::routing::CacheStatus;
             all.budgets[i].on_request_finished(std::hash<std::string>{}(object),
                                                note == CacheStatus::filled_by_origin
@@ -97,15 +98,15 @@
                                                : note == CacheStatus::filled ? recovery::FillSource::hub
                                                                              : recovery::FillSource::none);
         };
-        fleet.gate = [&](std::size_t i, const std::string& object) { return all.admits(i, object); };
+        fleet.admit = [&](std::size_t i, const std::string& object) { return all.admits(i, object); };
     }
     fleet.power_off();
     fleet.run_for(5 * kSecond);
-    fleet.power_back();
+    fleet.power_on();
     const Micros back = fleet.now();
     std::vector<std::size_t> order(static_cast<std::size_t>(routers));
     for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
-    std::shuffle(order.begin(), order.end(), std::mt19937_64(shape.seed));
+    std::shuffle(order.begin(), order.end(), std::mt19937_64(options.seed));
     const std::size_t returning = (2 * order.size() + 2) / 3;
     fleet.totals = {};
     std::vector<double> in_time;  // of each second
@@ -117,7 +118,7 @@
             while (started < returning && fleet.now() - back >= static_cast<Micros>(kOver) * kSecond *
                                                                     static_cast<Micros>(started) /
                                                                     static_cast<Micros>(returning)) {
-                fleet.start(order[started]);
+                fleet.start_router(order[started]);
                 all.start(order[started++]);
             }
             if (with) all.step(fleet.now() - back >= 5 * kSecond);
@@ -129,8 +130,8 @@
         if (most < 0 && have >= 0.9) most = at;
         if (nearly < 0 && have >= 0.99) nearly = at;
     }
-    const Micros window = fleet.set().overload_window;
-    for (int i = 0; i < shape.parents; ++i) {
+    const Micros window = fleet.settings().overload_window;
+    for (int i = 0; i < options.parents; ++i) {
         const std::string parent = "p" + std::to_string(i);
         // Against what it can bear at that moment: a cold one grows.
         const auto& work = fleet.totals.work_sent[parent];
@@ -139,7 +140,7 @@
         for (const auto& [when, one] : work) {
             for (sum += one; tail->first <= when - window; ++tail) sum -= tail->second;
             const Micros age = std::max(window, when - back);
-            most_parent = std::max(most_parent, sum / fleet.breaks_at(parent, age));
+            most_parent = std::max(most_parent, sum / fleet.overload_work(parent, age));
         }
     }
     std::size_t fills = 0, tail = 0;
@@ -151,10 +152,10 @@
     if (print)
         std::printf("%7d %-8s %8.2f %8.2f %8.2f %8.1f%% %7.1f%% %6.0f %6.0f %6.0f %8.0f %5d\n", routers,
                     with ? "with" : "without", static_cast<double>(fills) / kOriginFills,
-                    fleet.totals.longest_at_origin / kOriginFills, most_parent,
-                    100.0 * fleet.totals.refused / fleet.totals.asked,
-                    100.0 * fleet.totals.lost / fleet.totals.asked, half, most, nearly,
-                    static_cast<double>(at.size()) * shape.kb / 1'000, fleet.totals.origin_fell);
+                    fleet.totals.max_origin_queue / kOriginFills, most_parent,
+                    100.0 * fleet.totals.rejected / fleet.totals.requested,
+                    100.0 * fleet.totals.unhandled / fleet.totals.requested, half, most, nearly,
+                    static_cast<double>(at.size()) * options.object_kb / 1'000, fleet.totals.origin_crashes);
     return in_time;
 }
 
--- a/src/emulator/fleet_emulator.cpp
+++ b/src/emulator/fleet_emulator.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cmath>
 #include <stdexcept>
+#include <string>
+#include <utility>
 #include <variant>
 
 namespace sumackeel::emulator {
@@ -11,311 +13,379 @@
 
 namespace {
 
-enum Kind { kCache, kParent, kOrigin };  // places in the settings' list of kinds
+enum Kind { cache, parent, origin };  // index in the settings' list of kinds
 
-constexpr double kCacheWeight = 6, kParentWeight = 60;  // transfers at full pace
-constexpr Micros kFillWay = 10 * kMs;                   // to a source's first byte
-constexpr Micros kOriginWay = 120 * kMs;                // the same from an idle origin
-constexpr Micros kOriginDown = 5 * kSecond;
-constexpr Micros kFillTimeout = 2 * kSecond;  // a cache waits no longer for a source that says nothing
-constexpr Micros kToldFirst = 50 * kMs, kToldApart = 3 * kMs;  // a purge, from router to router
+constexpr double kCacheWeight = 6;  // transfers at full rate
+constexpr double kParentWeight = 60;
+constexpr Micros kSourceFirstByte = 10 * kMillisecond;  // of a cached copy
+constexpr Micros kIdleOriginFirstByte = 120 * kMillisecond;
+constexpr Micros kOriginRestart = 5 * kSecond;
+constexpr Micros kFillTimeout = 2 * kSecond;  // how long a cache waits for an unresponsive source
+constexpr Micros kFirstPurgeDelay = 50 * kMillisecond;
+constexpr Micros kPurgeDelayStep = 3 * kMillisecond;  // from router to router
 
 }  // namespace
 
-Settings settings(const FleetOptions& shape) {
+Settings fleet_settings(const FleetOptions& options) {
     Settings s;
     ClassSettings read;
-    read.latency_objective = 400 * kMs, read.latency_objective_stretch = 2, read.deadline = 3 * kSecond;
+    read.latency_objective = 400 * kMillisecond;
+    read.latency_objective_stretch = 2;
+    read.deadline = 3 * kSecond;
     s.classes = {read};
-    s.instance_count = shape.routers;
-    for (int zone = 0; zone < shape.zones; ++zone)
-        s.instances_by_zone.push_back(shape.routers / shape.zones + (zone < shape.routers % shape.zones));
-    s.region_by_zone.assign(shape.zones, 0);
-    s.parent_kind = kParent, s.origin_kind = kOrigin;
+    s.instance_count = options.routers;
+    for (int zone = 0; zone < options.zones; ++zone)
+        s.instances_by_zone.push_back(options.routers / options.zones +
+                                      (zone < options.routers % options.zones));
+    s.region_by_zone.assign(options.zones, 0);
+    s.parent_kind = Kind::parent;
+    s.origin_kind = Kind::origin;
     s.transfer_rate_kb_per_s = 4'000;
     s.coalescing_allowed = true;
     s.cache_status_detail = CacheStatusDetail::all;
     s.weight_quality = WeightQuality::nominal;
-    s.notification_grace = 300 * kMs, s.purge_completes_within = 6 * kSecond, s.drain_grace = 2 * kSecond;
-    s.cold_capacity_fraction = 0.16, s.warm_up_duration = 17 * kSecond, s.cold_overload_multiple = 4,
-    s.overload_window = 1'500 * kMs;
-    s.parent_cold_fraction = 0.06, s.parent_slow_start = 21 * kSecond, s.parent_overload_multiple = 2;
-    s.cancellation_allowed = s.hedging_allowed = true;
+    s.notification_grace = 300 * kMillisecond;
+    s.purge_completes_within = 6 * kSecond;
+    s.drain_grace = 2 * kSecond;
+    s.cold_capacity_fraction = 0.16;
+    s.warm_up_duration = 17 * kSecond;
+    s.cold_overload_multiple = 4;
+    s.overload_window = 1'500 * kMillisecond;
+    s.parent_cold_fraction = 0.06;
+    s.parent_slow_start = 21 * kSecond;
+    s.parent_overload_multiple = 2;
+    s.cancellation_allowed = true;
+    s.hedging_allowed = true;
     s.max_attempts = 8;
     return s;
 }
 
-double Totals::most_within(const std::string& box, Micros window) const {
-    const auto found = work_sent.find(box);
+double Totals::max_work_within(const std::string& endpoint, Micros window) const {
+    const auto found = work_sent.find(endpoint);
     if (found == work_sent.end()) return 0;
-    double most = 0, sum = 0;
-    auto tail = found->second.begin();
+    double max_work = 0;
+    double sum = 0;
+    auto oldest = found->second.begin();
     for (const auto& [at, work] : found->second) {
-        for (sum += work; tail->first <= at - window; ++tail) sum -= tail->second;
-        most = std::max(most, sum);
+        sum += work;
+        for (; oldest->first <= at - window; ++oldest) sum -= oldest->second;
+        max_work = std::max(max_work, sum);
     }
-    return most;
+    return max_work;
 }
 
-int Totals::named_between(const std::vector<std::string>& boxes, Micros from, Micros to) const {
+int Totals::attempts_naming(const std::vector<std::string>& endpoints, Micros from, Micros to) const {
     int count = 0;
-    for (const std::string& box : boxes) {
-        const auto found = named.find(box);
-        if (found == named.end()) continue;
+    for (const std::string& endpoint : endpoints) {
+        const auto found = attempts_by_endpoint.find(endpoint);
+        if (found == attempts_by_endpoint.end()) continue;
         const auto first = std::ranges::lower_bound(found->second, from);
         count += static_cast<int>(std::ranges::lower_bound(found->second, to) - first);
     }
     return count;
 }
 
-FleetEmulator::FleetEmulator(const FleetOptions& shape)
-    : shape_(shape), set_(settings(shape)), chance_(shape.seed) {
-    if (shape.routers < 1 || shape.zones < 1 || shape.objects < 1 || shape.asks_per_s <= 0 ||
-        shape.origin_fills_per_s <= 0)
+FleetEmulator::FleetEmulator(const FleetOptions& options)
+    : options_(options), settings_(fleet_settings(options)), random_(options.seed) {
+    if (options.routers < 1 || options.zones < 1 || options.objects < 1 || options.requests_per_s <= 0 ||
+        options.origin_fills_per_s <= 0)
         throw std::invalid_argument("a fleet needs routers, zones, objects, asks and an origin that fills");
     double sum = 0;
-    for (int i = 0; i < shape.objects; ++i) popularity_.push_back(sum += 1.0 / (i + 10));
+    for (int i = 0; i < options.objects; ++i) {
+        sum += 1.0 / (i + 10);
+        cumulative_popularity_.push_back(sum);
+    }
     const auto add = [this](const std::string& name, int zone, Kind kind, double weight) {
-        entries_.push_back({.name = name, .weight = weight, .zone = zone, .kind = kind});
+        endpoints_.push_back({.name = name, .weight = weight, .zone = zone, .kind = kind});
     };
-    for (int zone = 0; zone < shape.zones; ++zone)
-        for (int i = 0; i < shape.caches_a_zone; ++i) add(box(zone, i), zone, kCache, kCacheWeight);
-    for (int i = 0; i < shape.parents; ++i) add("p" + std::to_string(i), 0, kParent, kParentWeight);
-    add("origin", 0, kOrigin, 1);
-    for (std::size_t i = 0; i < static_cast<std::size_t>(shape.routers); ++i) routers_.push_back(router(i));
-    running_.assign(routers_.size(), true), lives_.assign(routers_.size(), 0);
-    tell_all(EndpointUpdate{1, EndpointUpdateKind::full, entries_});
-    for (std::size_t i = 0; i < routers_.size(); ++i) next_ask(i);
+    for (int zone = 0; zone < options.zones; ++zone)
+        for (int i = 0; i < options.caches_per_zone; ++i)
+            add(cache_name(zone, i), zone, Kind::cache, kCacheWeight);
+    for (int i = 0; i < options.parents; ++i) add("p" + std::to_string(i), 0, Kind::parent, kParentWeight);
+    add("origin", 0, Kind::origin, 1);
+    for (std::size_t i = 0; i < static_cast<std::size_t>(options.routers); ++i)
+        routers_.push_back(make_router(i));
+    running_.assign(routers_.size(), true);
+    router_generations_.assign(routers_.size(), 0);
+    handle_by_all(EndpointUpdate{1, EndpointUpdateKind::full, endpoints_});
+    for (std::size_t i = 0; i < routers_.size(); ++i) schedule_request(i);
 }
 
-Router FleetEmulator::router(std::size_t number) {
-    Settings own = set_;
-    own.instance_index = static_cast<int>(number), own.own_zone = own.instance_index % shape_.zones;
-    return Router(own, chance_());
+Router FleetEmulator::make_router(std::size_t number) {
+    Settings own = settings_;
+    own.instance_index = static_cast<int>(number);
+    own.own_zone = own.instance_index % options_.zones;
+    return Router(own, random_());
 }
 
 void FleetEmulator::power_off() {
     running_.assign(running_.size(), false);
-    open_.clear(), out_.clear(), held_.clear(), filling_.clear();
-    origin_free_ = now_;
+    open_.clear();
+    in_flight_.clear();
+    copies_.clear();
+    filled_at_.clear();
+    origin_free_at_ = now_;
 }
 
-void FleetEmulator::power_back() {
-    for (Endpoint& entry : entries_)
-        if (entry.kind != kOrigin) entry.started_at = now_;
+void FleetEmulator::power_on() {
+    for (Endpoint& endpoint : endpoints_)
+        if (endpoint.kind != Kind::origin) endpoint.started_at = now_;
 }
 
-void FleetEmulator::start(std::size_t number) {
-    routers_[number] = router(number);
-    running_[number] = true, ++lives_[number];
-    tell(number, EndpointUpdate{3, EndpointUpdateKind::full, entries_});
+void FleetEmulator::start_router(std::size_t router) {
+    routers_[router] = make_router(router);
+    running_[router] = true;
+    ++router_generations_[router];
+    handle(router, EndpointUpdate{3, EndpointUpdateKind::full, endpoints_});
 }
 
-// Who takes the request of a client of this router's: itself, or one by chance that is ready; none: its own
-// number, and it is lost there.
-std::size_t FleetEmulator::taker(std::size_t number) {
-    const auto takes = [this](std::size_t i) { return running_[i] && (!ready || ready(i)); };
+// The router that takes a request of this router's client: itself, or a random one that is ready. With none
+// it is its own, where the request is unhandled.
+std::size_t FleetEmulator::router_for_client_of(std::size_t number) {
+    const auto takes = [this](std::size_t i) { return running_[i] && (!is_ready || is_ready(i)); };
     if (takes(number)) return number;
-    const std::size_t from = chance_() % routers_.size();
-    for (std::size_t i = 0; i < routers_.size(); ++i)
-        if (takes((from + i) % routers_.size())) return (from + i) % routers_.size();
+    const std::size_t from = random_() % routers_.size();
+    for (std::size_t i = 0; i < routers_.size(); ++i) {
+        const std::size_t candidate = (from + i) % routers_.size();
+        if (takes(candidate)) return candidate;
+    }
     return number;
 }
 
-void FleetEmulator::run_for(Micros span) {
-    const Micros end = now_ + span;
-    while (!due_.empty() && due_.top().at <= end) {
-        const Due due = due_.top();
-        due_.pop();
-        now_ = due.at;
-        due.what();
+void FleetEmulator::schedule(Micros at, std::function<void()> callback) {
+    ++timer_count_;
+    timers_.push({at, timer_count_, std::move(callback)});
+}
+
+void FleetEmulator::run_for(Micros duration) {
+    const Micros end = now_ + duration;
+    while (!timers_.empty() && timers_.top().at <= end) {
+        const Timer timer = timers_.top();
+        timers_.pop();
+        now_ = timer.at;
+        timer.callback();
     }
     now_ = end;
 }
 
 void FleetEmulator::purge_all() {
-    held_.clear();
-    for (std::size_t i = 0; i < routers_.size(); ++i)
-        at(now_ + kToldFirst + static_cast<Micros>(i) * kToldApart, [this, i, then = now_] {
-            tell(i, Purge{0, now_ - then, ""});
-        });
+    copies_.clear();
+    for (std::size_t i = 0; i < routers_.size(); ++i) {
+        const Micros at = now_ + kFirstPurgeDelay + static_cast<Micros>(i) * kPurgeDelayStep;
+        schedule(at, [this, i, issued_at = now_] { handle(i, Purge{0, now_ - issued_at, ""}); });
+    }
 }
 
-void FleetEmulator::restart(const std::vector<std::string>& boxes) {
-    EndpointUpdate news{2, EndpointUpdateKind::incremental, {}};
-    for (Endpoint& entry : entries_)
-        if (std::ranges::find(boxes, entry.name) != boxes.end()) {
-            entry.started_at = now_;
-            held_.erase(entry.name);
-            news.endpoints.push_back(entry);
-        }
-    tell_all(news);
+void FleetEmulator::restart(const std::vector<std::string>& endpoints) {
+    EndpointUpdate update{2, EndpointUpdateKind::incremental, {}};
+    for (Endpoint& endpoint : endpoints_) {
+        if (std::ranges::find(endpoints, endpoint.name) == endpoints.end()) continue;
+        endpoint.started_at = now_;
+        copies_.erase(endpoint.name);
+        update.endpoints.push_back(endpoint);
+    }
+    handle_by_all(update);
 }
 
-void FleetEmulator::come_back(const std::vector<std::string>& boxes) {
-    for (const std::string& box : boxes) lost_.erase(box), held_.erase(box), filling_.erase(box);
+void FleetEmulator::reconnect(const std::vector<std::string>& endpoints) {
+    for (const std::string& endpoint : endpoints) {
+        disconnected_.erase(endpoint);
+        copies_.erase(endpoint);
+        filled_at_.erase(endpoint);
+    }
 }
 
-double FleetEmulator::breaks_at(const std::string& box, Micros ago) const {
-    const Endpoint& found = entry(box);
-    const bool parent = found.kind == kParent;
-    const double from = parent ? set_.parent_cold_fraction : set_.cold_capacity_fraction;
-    const double grown = static_cast<double>(ago) /
-                         static_cast<double>(parent ? set_.parent_slow_start : set_.warm_up_duration);
-    return (parent ? set_.parent_overload_multiple : set_.cold_overload_multiple) * found.weight *
-           (from + (1 - from) * std::min(1.0, grown)) * static_cast<double>(set_.overload_window);
+double FleetEmulator::overload_work(const std::string& endpoint, Micros age) const {
+    const Endpoint& found = find_endpoint(endpoint);
+    const bool is_parent = found.kind == Kind::parent;
+    const double from = is_parent ? settings_.parent_cold_fraction : settings_.cold_capacity_fraction;
+    const Micros duration = is_parent ? settings_.parent_slow_start : settings_.warm_up_duration;
+    const double multiple = is_parent ? settings_.parent_overload_multiple : settings_.cold_overload_multiple;
+    const double done = static_cast<double>(age) / static_cast<double>(duration);
+    const double ramp = from + (1 - from) * std::min(1.0, done);
+    return multiple * found.weight * ramp * static_cast<double>(settings_.overload_window);
 }
 
-const Endpoint& FleetEmulator::entry(const std::string& name) const {
-    const auto found = std::ranges::find(entries_, name, &Endpoint::name);
-    if (found == entries_.end()) throw std::invalid_argument("no box of the name " + name);
+const Endpoint& FleetEmulator::find_endpoint(const std::string& name) const {
+    const auto found = std::ranges::find(endpoints_, name, &Endpoint::name);
+    if (found == endpoints_.end()) throw std::invalid_argument("no endpoint of the name " + name);
     return *found;
 }
 
-Micros FleetEmulator::work() const {
-    return static_cast<Micros>(shape_.kb / set_.transfer_rate_kb_per_s * kSecond);
+Micros FleetEmulator::transfer_time() const {
+    return static_cast<Micros>(options_.object_kb / settings_.transfer_rate_kb_per_s * kSecond);
 }
 
-void FleetEmulator::next_ask(std::size_t router) {
-    const double rate = shape_.asks_per_s / shape_.routers;
-    const double gap = -std::log(1 - std::uniform_real_distribution<>(0, 1)(chance_)) / rate;
-    at(now_ + static_cast<Micros>(gap * kSecond), [this, router] {
-        const double where = std::uniform_real_distribution<>(0, popularity_.back())(chance_);
-        RequestReceived ask;
-        ask.id = std::to_string(router) + "-" + std::to_string(order_);
-        ask.object = "o" + std::to_string(std::ranges::lower_bound(popularity_, where) - popularity_.begin());
-        ask.time_left = set_.classes[0].deadline;
-        ask.size_kb = shape_.kb;
-        ++totals.asked;
-        const std::size_t by = taker(router);
-        if (!running_[by] || (ready && !ready(by))) {
-            ++totals.lost;
-        } else if (gate && !gate(by, ask.object)) {
-            ++totals.refused;
-        } else {
-            open_[ask.id] = {ask.object, now_};
-            tell(by, ask);
-        }
-        next_ask(router);
+// Requests of a router's own clients come at random intervals.
+void FleetEmulator::schedule_request(std::size_t router) {
+    const double rate = options_.requests_per_s / options_.routers;
+    const double interval = -std::log(1 - std::uniform_real_distribution<>(0, 1)(random_)) / rate;
+    schedule(now_ + static_cast<Micros>(interval * kSecond), [this, router] {
+        const double popularity = std::uniform_real_distribution<>(0, cumulative_popularity_.back())(random_);
+        const auto object = std::ranges::lower_bound(cumulative_popularity_, popularity);
+        RequestReceived request;
+        request.id = std::to_string(router) + "-" + std::to_string(timer_count_);
+        request.object = "o" + std::to_string(object - cumulative_popularity_.begin());
+        request.time_left = settings_.classes[0].deadline;
+        request.size_kb = options_.object_kb;
+        deliver_request(router, request);
+        schedule_request(router);
     });
 }
 
-void FleetEmulator::tell_all(const Event& event) {
-    for (std::size_t i = 0; i < routers_.size(); ++i) tell(i, event);
+void FleetEmulator::deliver_request(std::size_t router, const RequestReceived& request) {
+    ++totals.requested;
+    const std::size_t taker = router_for_client_of(router);
+    if (!running_[taker] || (is_ready && !is_ready(taker))) {
+        ++totals.unhandled;
+        return;
+    }
+    if (admit && !admit(taker, request.object)) {
+        ++totals.rejected;
+        return;
+    }
+    open_[request.id] = {request.object, now_};
+    handle(taker, request);
+}
+
+void FleetEmulator::handle_by_all(const Event& event) {
+    for (std::size_t i = 0; i < routers_.size(); ++i) handle(i, event);
 }
 
-void FleetEmulator::tell(std::size_t router, const Event& event) {
+void FleetEmulator::handle(std::size_t router, const Event& event) {
     if (!running_[router]) return;
     std::vector<Action> actions;
     routers_[router].handle(now_, event, actions);
-    if (observe) observe(router, now_, actions);
+    if (on_actions) on_actions(router, now_, actions);
     for (const Action& action : actions) {
-        if (const auto* timer = std::get_if<SetTimer>(&action))
-            at(std::max(timer->at, now_ + 1), [this, router, token = timer->token, life = lives_[router]] {
-                if (life == lives_[router]) tell(router, TimerExpired{token});
+        if (const auto* timer = std::get_if<SetTimer>(&action)) {
+            const int generation = router_generations_[router];
+            schedule(std::max(timer->at, now_ + 1), [this, router, token = timer->token, generation] {
+                if (generation == router_generations_[router]) handle(router, TimerExpired{token});
             });
-        if (const auto* serve = std::get_if<Forward>(&action)) send(router, *serve);
-        if (const auto* refuse = std::get_if<Reject>(&action)) over(refuse->id, totals.refused);
-        if (const auto* fail = std::get_if<Fail>(&action)) over(fail->id, totals.failed);
+        }
+        if (const auto* forward = std::get_if<Forward>(&action)) send(router, *forward);
+        if (const auto* reject = std::get_if<Reject>(&action)) close_request(reject->id, totals.rejected);
+        if (const auto* fail = std::get_if<Fail>(&action)) close_request(fail->id, totals.failed);
     }
 }
 
-// The first end of an attempt is its end: its time-out, or what the box makes of it.
-void FleetEmulator::end(std::size_t router, AttemptFinished outcome, Micros sent) {
-    if (!out_.erase({outcome.id, outcome.attempt})) return;
-    const bool served = outcome.status == AttemptStatus::served;
-    const auto found = open_.find(outcome.id);
-    outcome.elapsed = now_ - sent;
-    outcome.request_finished = served || found == open_.end();
-    if (served && found != open_.end()) {
-        if (answered) answered(router, found->second.object, outcome.cache_status);
-        totals.in_time += now_ - found->second.asked <= set_.classes[0].latency_objective + work() * 2;
-        over(outcome.id, totals.served);
+void FleetEmulator::schedule_end(const EmulatedAttempt& attempt, Micros at, const Ending& ending) {
+    schedule(at, [this, attempt, ending] { finish(attempt, ending); });
+}
+
+// Only the first end of an attempt counts: its timeout, or what its endpoint makes of it.
+void FleetEmulator::finish(const EmulatedAttempt& attempt, const Ending& ending) {
+    const std::string& id = attempt.forward.id;
+    if (!in_flight_.erase({id, attempt.number})) return;
+    const bool served = ending.status == AttemptStatus::served;
+    const auto request = open_.find(id);
+    const bool open = request != open_.end();
+    AttemptFinished result;
+    result.id = id;
+    result.attempt = attempt.number;
+    result.endpoint = attempt.forward.endpoint;
+    result.status = ending.status;
+    result.elapsed = now_ - attempt.sent_at;
+    result.request_finished = served || !open;
+    result.cache_status = ending.cache_status;
+    result.time_to_first_byte = ending.first_byte;
+    if (served && open) {
+        if (on_served) on_served(attempt.router, request->second.object, ending.cache_status);
+        const Micros objective = settings_.classes[0].latency_objective + transfer_time() * 2;
+        if (now_ - request->second.arrived_at <= objective) ++totals.in_time;
+        close_request(id, totals.served);
     }
-    tell(router, outcome);
+    handle(attempt.router, result);
 }
 
-void FleetEmulator::send(std::size_t router, const Forward& serve) {
-    Open& open = open_.at(serve.id);
-    const std::string object = open.object;
-    const int attempt = open.attempts++;
-    out_.insert({serve.id, attempt});
-    const auto ends = [&](Micros when, AttemptStatus verdict, CacheStatus note, Micros first_byte = 0) {
-        AttemptFinished outcome;
-        outcome.id = serve.id, outcome.attempt = attempt, outcome.endpoint = serve.endpoint;
-        outcome.status = verdict, outcome.cache_status = note, outcome.time_to_first_byte = first_byte;
-        at(when, [this, router, outcome, sent = now_] { end(router, outcome, sent); });
-    };
-    const auto arrives = [&](const std::string& box) {
-        totals.work_sent[box][now_] += static_cast<double>(work());
-    };
-    const auto keeps = [&](const std::string& box, Micros from) {
-        at(from, [this, box, object] { held_[box].insert(object); });
-    };
-    totals.named[serve.endpoint].push_back(now_);
-    if (serve.timeout > 0) ends(now_ + serve.timeout, AttemptStatus::timed_out, CacheStatus::unknown);
-    if (lost_.contains(serve.endpoint)) return;
-    arrives(serve.endpoint);
-    if (held_[serve.endpoint].contains(object))
-        return ends(now_ + work(), AttemptStatus::served, CacheStatus::hit);
-    Micros& running = filling_[serve.endpoint][object];
-    if (serve.coalesce && running > now_)
-        return at(running + 1, [this, router, serve, attempt, object, sent = now_] {
-            const bool came = held_[serve.endpoint].contains(object);
-            AttemptFinished outcome;
-            outcome.id = serve.id, outcome.attempt = attempt, outcome.endpoint = serve.endpoint;
-            outcome.status = came ? AttemptStatus::served : AttemptStatus::error;
-            outcome.cache_status = came ? CacheStatus::coalesced : CacheStatus::source_unreachable;
-            end(router, outcome, sent);
-        });
-    if (serve.source == serve.endpoint)
-        return ends(now_ + kMs, AttemptStatus::not_found, CacheStatus::unknown);
-    totals.named[serve.source].push_back(now_);
-    if (lost_.contains(serve.source))
-        return ends(now_ + kFillTimeout, AttemptStatus::error, CacheStatus::source_unreachable);
-    arrives(serve.source);
-    const bool held = held_[serve.source].contains(object);
-    if (!held && serve.source_cached_only)
-        return ends(now_ + kFillWay, AttemptStatus::not_found, CacheStatus::source_missing);
-    Micros first_byte = kFillWay;
-    if (!held) {
-        if (now_ < origin_up_)
-            return ends(now_ + kFillTimeout, AttemptStatus::error, CacheStatus::source_unreachable);
-        totals.origin_fills.push_back(now_);
-        // Danger to be seen: who waits no longer has had it asked for all the same.
-        const auto each = static_cast<Micros>(kSecond / shape_.origin_fills_per_s);
-        origin_free_ = std::max(origin_free_, now_) + each;
-        const double waiting = static_cast<double>(origin_free_ - now_) / static_cast<double>(each);
-        totals.longest_at_origin = std::max(totals.longest_at_origin, waiting);
-        first_byte = origin_free_ - now_ + kOriginWay;
-        if (shape_.origin_bears > 0 && origin_free_ - now_ > shape_.origin_bears) {
-            ++totals.origin_fell;
-            origin_fell_ = now_, origin_up_ = origin_free_ = now_ + kOriginDown;
-        }
+void FleetEmulator::record_work(const std::string& endpoint) {
+    totals.work_sent[endpoint][now_] += static_cast<double>(transfer_time());
+}
+
+void FleetEmulator::keep_copy(const std::string& endpoint, const std::string& object, Micros from) {
+    schedule(from, [this, endpoint, object] { copies_[endpoint].insert(object); });
+}
+
+void FleetEmulator::send(std::size_t router, const Forward& forward) {
+    OpenRequest& request = open_.at(forward.id);
+    const EmulatedAttempt attempt{router, forward, request.object, request.attempts++, now_};
+    in_flight_.insert({forward.id, attempt.number});
+    totals.attempts_by_endpoint[forward.endpoint].push_back(now_);
+    if (forward.timeout > 0)
+        schedule_end(attempt, now_ + forward.timeout, {AttemptStatus::timed_out, CacheStatus::unknown});
+    if (disconnected_.contains(forward.endpoint)) return;
+    record_work(forward.endpoint);
+    if (copies_[forward.endpoint].contains(attempt.object))
+        return schedule_end(attempt, now_ + transfer_time(), {AttemptStatus::served, CacheStatus::hit});
+    Micros& filled_at = filled_at_[forward.endpoint][attempt.object];
+    if (forward.coalesce && filled_at > now_) return share_fill(attempt, filled_at);
+    if (forward.source == forward.endpoint)
+        return schedule_end(attempt, now_ + kMillisecond, {AttemptStatus::not_found, CacheStatus::unknown});
+    send_to_source(attempt, filled_at);
+}
+
+void FleetEmulator::share_fill(const EmulatedAttempt& attempt, Micros filled_at) {
+    schedule(filled_at + 1, [this, attempt] {
+        const bool filled = copies_[attempt.forward.endpoint].contains(attempt.object);
+        finish(attempt, filled ? Ending{AttemptStatus::served, CacheStatus::coalesced}
+                               : Ending{AttemptStatus::error, CacheStatus::source_unreachable});
+    });
+}
+
+// Fills the copy; `filled_at` is set to the fill's end.
+void FleetEmulator::send_to_source(const EmulatedAttempt& attempt, Micros& filled_at) {
+    const std::string& source = attempt.forward.source;
+    const Ending unreachable{AttemptStatus::error, CacheStatus::source_unreachable};
+    totals.attempts_by_endpoint[source].push_back(now_);
+    if (disconnected_.contains(source)) return schedule_end(attempt, now_ + kFillTimeout, unreachable);
+    record_work(source);
+    const bool cached = copies_[source].contains(attempt.object);
+    if (!cached && attempt.forward.source_cached_only)
+        return schedule_end(attempt, now_ + kSourceFirstByte,
+                            {AttemptStatus::not_found, CacheStatus::source_missing});
+    if (!cached && now_ < origin_up_at_) return schedule_end(attempt, now_ + kFillTimeout, unreachable);
+    const Micros first_byte = cached ? kSourceFirstByte : queue_at_origin();
+    filled_at = now_ + first_byte + transfer_time();
+    if (!cached && options_.origin_max_wait > 0) return fill_from_fallible_origin(attempt, first_byte);
+    keep_copy(attempt.forward.endpoint, attempt.object, filled_at);
+    if (!cached) keep_copy(source, attempt.object, filled_at);
+    const CacheStatus cache_status = cached ? CacheStatus::filled : CacheStatus::filled_by_origin;
+    schedule_end(attempt, filled_at, {AttemptStatus::served, cache_status, first_byte});
+}
+
+// Adds a fill to the origin's queue, where it stays also after its attempt has timed out. Gives the time to
+// its first byte.
+Micros FleetEmulator::queue_at_origin() {
+    totals.origin_fills.push_back(now_);
+    const auto interval = static_cast<Micros>(kSecond / options_.origin_fills_per_s);
+    origin_free_at_ = std::max(origin_free_at_, now_) + interval;
+    const Micros wait = origin_free_at_ - now_;
+    const double queue = static_cast<double>(wait) / static_cast<double>(interval);
+    totals.max_origin_queue = std::max(totals.max_origin_queue, queue);
+    if (options_.origin_max_wait > 0 && wait > options_.origin_max_wait) {
+        ++totals.origin_crashes;
+        origin_crashed_at_ = now_;
+        origin_up_at_ = now_ + kOriginRestart;
+        origin_free_at_ = origin_up_at_;
     }
-    running = now_ + first_byte + work();
-    // What the origin was at when it fell never comes: the cache notices once its own patience is over.
-    const Micros comes = now_ + first_byte;
-    if (!held && shape_.origin_bears > 0) {
-        at(comes, [this, router, serve, attempt, object, asked = now_, comes, first_byte] {
-            const bool fell = origin_fell_ >= asked && origin_fell_ <= comes;
-            AttemptFinished outcome;
-            outcome.id = serve.id, outcome.attempt = attempt, outcome.endpoint = serve.endpoint;
-            outcome.status = fell ? AttemptStatus::error : AttemptStatus::served;
-            outcome.cache_status = fell ? CacheStatus::source_unreachable : CacheStatus::filled_by_origin;
-            outcome.time_to_first_byte = fell ? 0 : first_byte;
-            at(fell ? std::max(now_ + 1, asked + kFillTimeout) : now_ + work(),
-               [this, router, serve, object, outcome, fell, asked] {
-                   if (!fell) held_[serve.endpoint].insert(object), held_[serve.source].insert(object);
-                   end(router, outcome, asked);
-               });
+    return wait + kIdleOriginFirstByte;
+}
+
+// Fills in progress when the origin crashes never end; the cache notices by its own timeout.
+void FleetEmulator::fill_from_fallible_origin(const EmulatedAttempt& attempt, Micros first_byte) {
+    schedule(now_ + first_byte, [this, attempt, first_byte] {
+        const bool crashed = origin_crashed_at_ >= attempt.sent_at && origin_crashed_at_ <= now_;
+        if (crashed) {
+            const Micros noticed_at = std::max(now_ + 1, attempt.sent_at + kFillTimeout);
+            return schedule_end(attempt, noticed_at, {AttemptStatus::error, CacheStatus::source_unreachable});
+        }
+        schedule(now_ + transfer_time(), [this, attempt, first_byte] {
+            copies_[attempt.forward.endpoint].insert(attempt.object);
+            copies_[attempt.forward.source].insert(attempt.object);
+            finish(attempt, {AttemptStatus::served, CacheStatus::filled_by_origin, first_byte});
         });
-        return;
-    }
-    keeps(serve.endpoint, running);
-    if (!held) keeps(serve.source, running);
-    ends(running, AttemptStatus::served, held ? CacheStatus::filled : CacheStatus::filled_by_origin,
-         first_byte);
+    });
 }
 
 }  // namespace sumackeel::emulator
--- a/src/emulator/fleet_emulator.h
+++ b/src/emulator/fleet_emulator.h
@@ -1,8 +1,9 @@
-// Many instances of the module before many boxes on one virtual clock, for what only the sum of them shows:
-// what reaches an origin, a cold box, a parent when all proxies act on the same news. One chance seed gives
-// one run. The boxes are simple: an attempt takes its sending time, a fill from the origin waits its turn
-// there. Times are in microseconds of the virtual clock; nothing here reads a clock or a file. A run holds
-// what it asked for until its end: some 300 bytes a request.
+// Emulator of a fleet: many routers before many endpoints on one virtual clock, for what only their sum
+// shows, such as the load on an origin or on a cold endpoint when all routers act on the same event.
+//
+// One seed gives one run; nothing here reads a clock or a file. Endpoints are simple: an attempt takes its
+// transfer time, and a fill from the origin waits its turn there. Times are microseconds of the virtual
+// clock. A run keeps some 300 bytes a request until its end.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +14,7 @@
 #include <set>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "routing/router.h"
@@ -21,120 +23,176 @@
 
 using routing::Micros;
 
-constexpr Micros kMs = 1'000, kSecond = 1'000'000;
+constexpr Micros kMillisecond = 1'000;
+constexpr Micros kSecond = 1'000'000;
 
 struct FleetOptions {
-    int routers = 100, zones = 15, caches_a_zone = 4, parents = 4;
-    double asks_per_s = 1'000;  // of all clients
-    int objects = 4'000;        // wanted with a weight that falls as 1/rank
+    int routers = 100;
+    int zones = 15;
+    int caches_per_zone = 4;
+    int parents = 4;
+    double requests_per_s = 1'000;  // of all clients
+    int objects = 4'000;            // requested with a weight that falls as 1/rank
     double origin_fills_per_s = 400;
-    Micros origin_bears = 0;  // a longer queue makes it fall, for 5 s and with all that it was at; 0: never
-    double kb = 400;          // one read; 0.1 s at full pace
+    Micros origin_max_wait = 0;  // with a longer queue it crashes for 5 s and loses its fills; 0: never
+    double object_kb = 400;      // 0.1 s at full rate
     std::uint64_t seed = 20261201;
 };
 
-// What the platform would tell such a fleet.
-routing::Settings settings(const FleetOptions& shape);
+// Settings of the routers of such a fleet; index and zone are those of the first.
+routing::Settings fleet_settings(const FleetOptions& options);
 
-// What became of the requests, and what reached the origin and each box.
+// What became of the requests, and what reached the origin and each endpoint.
 struct Totals {
-    int asked = 0, served = 0, in_time = 0, refused = 0, failed = 0, twice = 0;
-    double longest_at_origin = 0;                               // fills waiting there at once
-    std::vector<Micros> origin_fills;                           // begun there, in order
-    int lost = 0;                                               // nobody was there to ask
-    int origin_fell = 0;                                        // times
-    std::map<std::string, std::map<Micros, double>> work_sent;  // to a box, by the time it arrived
-    std::map<std::string, std::vector<Micros>>
-        named;  // when attempts named it, as box or as source, in order
-
-    // The most work that reached a box within any such window.
-    double most_within(const std::string& box, Micros window) const;
-    // Attempts that named any of the boxes from `from` up to `to`.
-    int named_between(const std::vector<std::string>& boxes, Micros from, Micros to) const;
+    int requested = 0;
+    int served = 0;
+    int in_time = 0;  // served within the latency objective
+    int rejected = 0;
+    int failed = 0;
+    int duplicate_answers = 0;
+    int unhandled = 0;  // there was no router that was ready
+    int origin_crashes = 0;
+    double max_origin_queue = 0;                                // fills waiting there at once
+    std::vector<Micros> origin_fills;                           // when they began, in order
+    std::map<std::string, std::map<Micros, double>> work_sent;  // by endpoint and time of arrival
+    // When attempts named the endpoint, as cache or as source, in order.
+    std::map<std::string, std::vector<Micros>> attempts_by_endpoint;
+
+    // The most work, in microseconds of transfer time, that reached the endpoint within any such window.
+    double max_work_within(const std::string& endpoint, Micros window) const;
+
+    // Attempts that named any of the endpoints in [from, to).
+    int attempts_naming(const std::vector<std::string>& endpoints, Micros from, Micros to) const;
 };
 
 class FleetEmulator {
   public:
-    explicit FleetEmulator(const FleetOptions& shape);
+    // Throws std::invalid_argument for options without routers, zones, objects, requests or fills.
+    explicit FleetEmulator(const FleetOptions& options);
 
-    static std::string box(int zone, int i) { return "c" + std::to_string(zone) + "-" + std::to_string(i); }
+    static std::string cache_name(int zone, int number) {
+        return "c" + std::to_string(zone) + "-" + std::to_string(number);
+    }
 
-    void run_for(Micros span);
-    // Every copy goes void, and each router hears of it a little later than the one before.
+    void run_for(Micros duration);
+
+    // All copies become void; each router is notified a little later than the one before.
     void purge_all();
-    // Boxes come back empty and cold, told to all at once.
-    void restart(const std::vector<std::string>& boxes);
-    // Machines vanish without a word, as when a zone is cut off: what is sent there runs out of time, a cache
-    // that fills from there says so once it has waited for long. No list tells of it.
-    void lose(const std::vector<std::string>& boxes) { lost_.insert(boxes.begin(), boxes.end()); }
-    // They answer again, empty and cold, and no list tells of that either.
-    void come_back(const std::vector<std::string>& boxes);
-    // The power is gone: routers, all copies and what was open. Clients whose router is not there, or not
-    // ready, go to another; where there is none their requests are asked and lost.
+
+    // Endpoints restart empty and cold; all routers are notified at once.
+    void restart(const std::vector<std::string>& endpoints);
+
+    // Endpoints become unreachable, as when a zone is cut off: attempts there time out, and a cache that
+    // fills from there reports so after a long wait. No list says so.
+    void disconnect(const std::vector<std::string>& endpoints) {
+        disconnected_.insert(endpoints.begin(), endpoints.end());
+    }
+
+    // They respond again, empty and cold; no list says that either.
+    void reconnect(const std::vector<std::string>& endpoints);
+
+    // Loss of power: routers, copies and open requests are gone. Clients whose router is not ready use
+    // another; with none their requests are unhandled.
     void power_off();
-    // The boxes run again, cold from now on.
-    void power_back();
-    // A router starts anew and is told the list.
-    void start(std::size_t router);
-    bool runs(std::size_t router) const { return running_[router]; }
-    std::function<bool(std::size_t router)> ready;  // of one that runs; none: all are
-    // Asked of each request before the router is: false refuses it at once.
-    std::function<bool(std::size_t router, const std::string& object)> gate;
-    // Told of each request served, and how.
-    std::function<void(std::size_t router, const std::string& object, routing::CacheStatus)> answered;
-    // Told of each event that a router took, with the actions that came of it.
-    std::function<void(std::size_t router, Micros now, const std::vector<routing::Action>& actions)> observe;
+
+    // The endpoints run again, cold from now on.
+    void power_on();
+
+    // A router restarts and gets the full list.
+    void start_router(std::size_t router);
+    bool is_running(std::size_t router) const { return running_[router]; }
+
     Micros now() const { return now_; }
-    void origin_does(double fills_per_s) { shape_.origin_fills_per_s = fills_per_s; }
-    // The work that pushes over a box that started `ago` before, sent within the window of the rule.
-    double breaks_at(const std::string& box, Micros ago) const;
+    void set_origin_fill_rate(double fills_per_s) { options_.origin_fills_per_s = fills_per_s; }
+
+    // Work within the overload window that overloads the endpoint at the given age, in microseconds.
+    double overload_work(const std::string& endpoint, Micros age) const;
+
+    const routing::Settings& settings() const { return settings_; }
+
+    // Whether a running router is ready; empty: all are.
+    std::function<bool(std::size_t router)> is_ready;
+    // Called for each request before the router; false rejects it.
+    std::function<bool(std::size_t router, const std::string& object)> admit;
+    // Called for each request served.
+    std::function<void(std::size_t router, const std::string& object, routing::CacheStatus)> on_served;
+    // Called for each event that a router handled, with its actions.
+    std::function<void(std::size_t router, Micros now, const std::vector<routing::Action>& actions)>
+        on_actions;
 
-    const routing::Settings& set() const { return set_; }
     Totals totals;  // may be cleared between two stretches
 
   private:
-    struct Due {
+    struct Timer {
         Micros at;
-        std::uint64_t order;  // of two at one moment the one set first comes first
-        std::function<void()> what;
-        bool operator<(const Due& other) const {
+        std::uint64_t order;  // timers due at one moment run in the order in which they were set
+        std::function<void()> callback;
+        bool operator<(const Timer& other) const {
             return at != other.at ? at > other.at : order > other.order;
         }
     };
-    struct Open {
+    struct OpenRequest {
         std::string object;
-        Micros asked = 0;
+        Micros arrived_at = 0;
         int attempts = 0;
     };
+    // An attempt under way, as its endpoint sees it.
+    struct EmulatedAttempt {
+        std::size_t router = 0;
+        routing::Forward forward;
+        std::string object;
+        int number = 0;
+        Micros sent_at = 0;
+    };
+    struct Ending {
+        routing::AttemptStatus status;
+        routing::CacheStatus cache_status;
+        Micros first_byte = 0;
+    };
 
-    void at(Micros when, std::function<void()> what) { due_.push({when, ++order_, std::move(what)}); }
-    void next_ask(std::size_t router);
-    void tell(std::size_t router, const routing::Event& event);
-    void tell_all(const routing::Event& event);
-    void send(std::size_t router, const routing::Forward& serve);
-    void end(std::size_t router, routing::AttemptFinished outcome, Micros sent);
-    void over(const std::string& id, int& count) { ++(open_.erase(id) ? count : totals.twice); }
-    routing::Router router(std::size_t number);
-    std::size_t taker(std::size_t router);
-    const routing::Endpoint& entry(const std::string& name) const;
-    Micros work() const;
-
-    FleetOptions shape_;
-    routing::Settings set_;
-    std::mt19937_64 chance_;
-    std::vector<double> popularity_;  // summed up
-    std::vector<routing::Endpoint> entries_;
+    void schedule(Micros at, std::function<void()> callback);
+    void schedule_request(std::size_t router);
+    void deliver_request(std::size_t router, const routing::RequestReceived& request);
+    void handle(std::size_t router, const routing::Event& event);
+    void handle_by_all(const routing::Event& event);
+
+    void send(std::size_t router, const routing::Forward& forward);
+    void send_to_source(const EmulatedAttempt& attempt, Micros& filled_at);
+    void share_fill(const EmulatedAttempt& attempt, Micros filled_at);
+    Micros queue_at_origin();
+    void fill_from_fallible_origin(const EmulatedAttempt& attempt, Micros first_byte);
+    void schedule_end(const EmulatedAttempt& attempt, Micros at, const Ending& ending);
+    void finish(const EmulatedAttempt& attempt, const Ending& ending);
+    void keep_copy(const std::string& endpoint, const std::string& object, Micros from);
+    void record_work(const std::string& endpoint);
+    void close_request(const std::string& id, int& count) {
+        ++(open_.erase(id) ? count : totals.duplicate_answers);
+    }
+
+    routing::Router make_router(std::size_t number);
+    std::size_t router_for_client_of(std::size_t number);
+    const routing::Endpoint& find_endpoint(const std::string& name) const;
+    Micros transfer_time() const;
+
+    FleetOptions options_;
+    routing::Settings settings_;
+    std::mt19937_64 random_;
+    std::vector<double> cumulative_popularity_;
+    std::vector<routing::Endpoint> endpoints_;
     std::vector<routing::Router> routers_;
     std::vector<bool> running_;
-    std::vector<int> lives_;  // of each router: what an earlier one had set is passed over
-    std::priority_queue<Due> due_;
-    std::uint64_t order_ = 0;
-    Micros now_ = 1'000 * kSecond, origin_free_ = 0, origin_fell_ = -1, origin_up_ = 0;
-    std::unordered_map<std::string, Open> open_;
-    std::set<std::string> lost_;
-    std::set<std::pair<std::string, int>> out_;  // attempts, by request and number
-    std::map<std::string, std::set<std::string>> held_;
-    std::map<std::string, std::map<std::string, Micros>> filling_;  // object to the fill's end, by box
+    std::vector<int> router_generations_;  // timers of an earlier one are ignored
+    std::priority_queue<Timer> timers_;
+    std::uint64_t timer_count_ = 0;
+    Micros now_ = 1'000 * kSecond;
+    Micros origin_free_at_ = 0;
+    Micros origin_crashed_at_ = -1;
+    Micros origin_up_at_ = 0;
+    std::unordered_map<std::string, OpenRequest> open_;
+    std::set<std::string> disconnected_;
+    std::set<std::pair<std::string, int>> in_flight_;                 // attempts, by request and number
+    std::map<std::string, std::set<std::string>> copies_;             // objects by endpoint
+    std::map<std::string, std::map<std::string, Micros>> filled_at_;  // end of a fill, by endpoint and object
 };
 
 }  // namespace sumackeel::emulator
--- a/tests/compatibility/routing_replay_test.cpp
+++ b/tests/compatibility/routing_replay_test.cpp
@@ -83,15 +83,15 @@
     EXPECT_EQ(replay.digest.value(), expected) << name << ": " << replay.actions << " actions";
 }
 
-emulator::FleetOptions small(std::uint64_t seed, double asks_per_s) {
-    emulator::FleetOptions shape;
-    shape.routers = 20, shape.zones = 5, shape.asks_per_s = asks_per_s, shape.objects = 1'500,
-    shape.seed = seed;
-    return shape;
+emulator::FleetOptions small(std::uint64_t seed, double requests_per_s) {
+    emulator::FleetOptions options;
+    options.routers = 20, options.zones = 5, options.requests_per_s = requests_per_s, options.objects = 1'500,
+    options.seed = seed;
+    return options;
 }
 
 void record(emulator::FleetEmulator& fleet, Replay& replay) {
-    fleet.observe = [&replay](std::size_t router, Micros now, const std::vector<Action>& taken) {
+    fleet.on_actions = [&replay](std::size_t router, Micros now, const std::vector<Action>& taken) {
         replay.digest.add(static_cast<std::int64_t>(router));
         replay.add(now, taken);
     };
@@ -99,9 +99,9 @@
 
 // Settings that differ in all that the module branches on, by the number of the stream.
 Settings settings_of(int stream) {
-    emulator::FleetOptions shape;
-    shape.routers = 12, shape.zones = 3;
-    Settings s = emulator::settings(shape);
+    emulator::FleetOptions options;
+    options.routers = 12, options.zones = 3;
+    Settings s = emulator::fleet_settings(options);
     constexpr Micros kMs = 1'000;
     ClassSettings keyed = s.classes[0], effect = s.classes[0], aging = s.classes[0];
     keyed.retry_safety = RetrySafety::with_idempotency_key, keyed.idempotency_window = 900 * kMs;
@@ -284,27 +284,27 @@
     fleet.run_for(2 * emulator::kSecond);
     fleet.restart({"c0-0", "c1-1", "p0"});
     fleet.run_for(3 * emulator::kSecond);
-    fleet.lose({"c2-0", "c2-1", "c2-2", "c2-3", "p1"});
+    fleet.disconnect({"c2-0", "c2-1", "c2-2", "c2-3", "p1"});
     fleet.run_for(4 * emulator::kSecond);
-    fleet.come_back({"c2-0", "c2-1", "c2-2", "c2-3", "p1"});
+    fleet.reconnect({"c2-0", "c2-1", "c2-2", "c2-3", "p1"});
     fleet.run_for(4 * emulator::kSecond);
     judge("faulty", replay, 0xebe699c55cc67c9d, 17164);
 }
 
 TEST(RoutingReplay, OverloadedOriginAndFleetAfterPowerLoss) {
-    emulator::FleetOptions shape = small(3, 1'500);
-    shape.origin_fills_per_s = 120, shape.origin_bears = 2 * emulator::kSecond;
-    emulator::FleetEmulator fleet(shape);
+    emulator::FleetOptions options = small(3, 1'500);
+    options.origin_fills_per_s = 120, options.origin_max_wait = 2 * emulator::kSecond;
+    emulator::FleetEmulator fleet(options);
     Replay replay;
     record(fleet, replay);
     fleet.run_for(4 * emulator::kSecond);
-    fleet.origin_does(60);
+    fleet.set_origin_fill_rate(60);
     fleet.purge_all();
     fleet.run_for(4 * emulator::kSecond);
     fleet.power_off();
     fleet.run_for(emulator::kSecond);
-    fleet.power_back();
-    for (std::size_t i = 0; i < 20; ++i) fleet.start(i);
+    fleet.power_on();
+    for (std::size_t i = 0; i < 20; ++i) fleet.start_router(i);
     fleet.run_for(4 * emulator::kSecond);
     judge("overloaded", replay, 0x2003fbd2b5722e79, 24473);
 }
--- a/tests/emulator/fleet_emulator_test.cpp
+++ b/tests/emulator/fleet_emulator_test.cpp
@@ -9,8 +9,8 @@
 
 void each_answered_once(const FleetEmulator& fleet) {
     const Totals& t = fleet.totals;
-    EXPECT_EQ(t.twice, 0);
-    EXPECT_LE(t.asked - t.served - t.refused - t.failed, t.asked / 20);  // those still open
+    EXPECT_EQ(t.duplicate_answers, 0);
+    EXPECT_LE(t.requested - t.served - t.rejected - t.failed, t.requested / 20);  // those still open
 }
 
 }  // namespace
@@ -19,7 +19,7 @@
 TEST(Fleet, APurgeOfEverythingDoesNotPushAnOriginOver) {
     FleetEmulator fleet({});
     fleet.run_for(8 * kSecond);
-    fleet.origin_does(150);
+    fleet.set_origin_fill_rate(150);
     fleet.totals = {};
     fleet.purge_all();
     fleet.run_for(8 * kSecond);
@@ -33,18 +33,18 @@
 // must not push it over right after a list told of it to all at once.
 TEST(Fleet, AllRoutersTogetherKeepToTheColdBudget) {
     for (const int routers : {15, 100, 300}) {
-        FleetOptions shape;
-        shape.routers = routers;
-        FleetEmulator fleet(shape);
+        FleetOptions options;
+        options.routers = routers;
+        FleetEmulator fleet(options);
         fleet.run_for(4 * kSecond);
         std::vector<std::string> cold{"p0", "p1"};
-        for (int zone = 0; zone < 9; ++zone) cold.push_back(FleetEmulator::box(zone, 1));
+        for (int zone = 0; zone < 9; ++zone) cold.push_back(FleetEmulator::cache_name(zone, 1));
         fleet.restart(cold);
         fleet.totals = {};
-        const Micros window = fleet.set().overload_window;
+        const Micros window = fleet.settings().overload_window;
         fleet.run_for(window);
         for (const std::string& box : cold)
-            EXPECT_LE(fleet.totals.most_within(box, window), fleet.breaks_at(box, window))
+            EXPECT_LE(fleet.totals.max_work_within(box, window), fleet.overload_work(box, window))
                 << box << ", " << routers << " routers";
     }
 }
@@ -52,23 +52,23 @@
 // Guards: parents that vanish without a word are known by each router alone, from what it sent there itself;
 // and once they answer again, empty and cold and told by no list, all together must not push them over.
 TEST(Fleet, ParentsLostWithoutAWordAreLeftAndNotPushedOverOnTheirReturn) {
-    FleetOptions shape;
-    shape.routers = 15;
-    FleetEmulator fleet(shape);
+    FleetOptions options;
+    options.routers = 15;
+    FleetEmulator fleet(options);
     const std::vector<std::string> lost{"p0", "p1"};
     fleet.run_for(10 * kSecond);
-    const int before = fleet.totals.named_between(lost, fleet.now() - kSecond, fleet.now());
-    fleet.lose(lost);
+    const int before = fleet.totals.attempts_naming(lost, fleet.now() - kSecond, fleet.now());
+    fleet.disconnect(lost);
     fleet.run_for(2 * kSecond);
     fleet.totals = {};
     const Micros from = fleet.now();
     fleet.run_for(4 * kSecond);
-    EXPECT_LT(fleet.totals.named_between(lost, from, fleet.now()) / 4, before / 5);
-    EXPECT_EQ(fleet.totals.twice, 0);
-    fleet.come_back(lost);
+    EXPECT_LT(fleet.totals.attempts_naming(lost, from, fleet.now()) / 4, before / 5);
+    EXPECT_EQ(fleet.totals.duplicate_answers, 0);
+    fleet.reconnect(lost);
     fleet.totals = {};
-    const Micros window = fleet.set().overload_window;
+    const Micros window = fleet.settings().overload_window;
     fleet.run_for(window);
     for (const std::string& box : lost)
-        EXPECT_LE(fleet.totals.most_within(box, window), fleet.breaks_at(box, window)) << box;
+        EXPECT_LE(fleet.totals.max_work_within(box, window), fleet.overload_work(box, window)) << box;
 }
