--- a/bench/group_processes.py
+++ b/bench/group_processes.py
@@ -33,7 +33,7 @@
     """When this member's log called `name` dead, after `since` (Unix seconds)."""
     with open(member.log, encoding="utf-8", errors="replace") as log:
         times = [float(found.group(1)) for found in re.finditer(
-            rf"^(\d+\.\d+) info group: {name} is dead", log.read(), re.M)]
+            rf"^(\d+\.\d+) info cluster: state_changed member={name} state=dead ", log.read(), re.M)]
     return min((at for at in times if at >= since), default=None)
 
 
--- a/src/cluster_transport/cluster_transport.h
+++ b/src/cluster_transport/cluster_transport.h
@@ -1,13 +1,18 @@
-// The sockets between edge proxies: datagrams of the group, exchanges of whole states over streams, both at
-// one address. Owns the group, its start number on disk and its cap on bytes. Off unless peers are named.
+// Transport between edge proxies: datagrams of the membership protocol, and streams for state exchanges and
+// calls between members, all at one address. Owns the membership, its start number on disk and its rate
+// limits. Off unless peers are configured. All calls are made on the loop's thread.
 #pragma once
 
+#include <json/value.h>
+
 #include <functional>
 #include <map>
 #include <memory>
 #include <optional>
 #include <random>
+#include <stdexcept>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "cluster/membership.h"
@@ -21,101 +26,150 @@
 
 namespace sumackeel::cluster_transport {
 
+// Why the transport could not start.
+class TransportError : public std::runtime_error {
+  public:
+    enum class Code { invalid_address, address_in_use };
+    TransportError(Code code, const std::string& text) : std::runtime_error(text), code_(code) {}
+    Code code() const { return code_; }
+
+  private:
+    Code code_;
+};
+
+// Counts since the start of the process.
 struct Metrics {
-    std::uint64_t datagrams_out = 0, datagrams_in = 0, bytes_out = 0, bytes_in = 0;
-    std::uint64_t exchanges = 0, exchanges_same = 0, exchanges_failed = 0;
-    std::uint64_t not_sent = 0;    // by the system
-    std::uint64_t capped[4] = {};  // by cluster::Urgency: dropped, or its news left out, at the cap
-    std::uint64_t bad[kDecodeErrorCount] = {};  // by Bad
+    std::uint64_t datagrams_out = 0;
+    std::uint64_t datagrams_in = 0;
+    std::uint64_t bytes_out = 0;
+    std::uint64_t bytes_in = 0;
+    std::uint64_t exchanges = 0;  // that this member began
+    std::uint64_t exchanges_same = 0;
+    std::uint64_t exchanges_failed = 0;
+    std::uint64_t not_sent = 0;                 // datagrams that the system did not take
+    std::uint64_t capped[4] = {};               // by cluster::SendPriority: dropped at the rate limit
+    std::uint64_t bad[kDecodeErrorCount] = {};  // by DecodeError
 };
 
 class ClusterTransport {
   public:
-    // How many proxies there are by zone, each time that it changes.
+    // Called with the number of proxies by zone, each time that it changes.
     using ClusterSizeCallback = std::function<void(const std::map<std::string, int>& by_zone)>;
 
-    // Throws where the address, the key or the folder can't be used. `counted_at_first`: what the settings
-    // say by zone. `wait_for_address`: another process of this proxy may hold the address until it ends.
+    // Throws TransportError, StartNumberError or config::ConfigError where the address, the folder or the key
+    // can't be used. `initial_size`: the configured size by zone. `wait_for_address`: another process of this
+    // proxy may hold the address until it ends.
     ClusterTransport(net::Loop& loop, net::SocketBudget& sockets, const config::Cluster& setup,
                      const std::string& zone, const std::string& version, std::uint64_t seed,
-                     std::map<std::string, int> counted_at_first, bool wait_for_address,
-                     ClusterSizeCallback counted);
+                     std::map<std::string, int> initial_size, bool wait_for_address,
+                     ClusterSizeCallback on_size_change);
     ~ClusterTransport();
     ClusterTransport(const ClusterTransport&) = delete;
     ClusterTransport& operator=(const ClusterTransport&) = delete;
 
-    // Questions between members, over streams. `take` answers those of a verb that come, at once or later,
-    // from the loop.
-    using Respond = std::function<void(std::string answer)>;
-    using CallHandler = std::function<void(const std::string& from, const std::string& verb,
-                                           const std::string& body, Respond say)>;
-    void on_call(const std::string& verb, CallHandler take) { takes_[verb] = std::move(take); }
-    void remove_call_handler(const std::string& verb) { takes_.erase(verb); }
-    // `done` is told once, from the loop: the answer, or none within `patience`.
-    using CallCallback = std::function<void(std::optional<std::string> answer)>;
-    void call(const std::string& to, const std::string& verb, std::string body, base::Micros patience,
-              CallCallback done);
+    // Sends the response to a call; at once or later, from the loop.
+    using Respond = std::function<void(std::string response)>;
+    using CallHandler = std::function<void(const std::string& from, const std::string& method,
+                                           const std::string& body, Respond respond)>;
+    void on_call(const std::string& method, CallHandler handler) {
+        call_handlers_[method] = std::move(handler);
+    }
+    void remove_call_handler(const std::string& method) { call_handlers_.erase(method); }
+    // Called exactly once, from the loop: with the response, or with none after the timeout or a failure.
+    using CallCallback = std::function<void(std::optional<std::string> response)>;
+    void call(const std::string& to, const std::string& method, std::string body, base::Micros timeout,
+              CallCallback callback);
 
     const MessageCodec& codec() const { return codec_; }
     const config::Cluster& setup() const { return setup_; }
-    // Where this one reaches what tells that address.
-    std::string reachable_address(const std::string& told) const;
-    void set_software_version(const std::string& version);  // from now on, as it says of itself
-    void leave();                                           // tells the others, then is silent
-    void go_silent();  // without a word: the process that takes over goes on under this name
+    // Under which address this proxy reaches a member that advertises `advertised`.
+    std::string reachable_address(const std::string& advertised) const;
+    // The program's version in this member's record from now on.
+    void set_software_version(const std::string& version);
+    // Notifies the others that this member leaves, and closes all sockets.
+    void leave();
+    // Closes all sockets and notifies nobody: the process that takes over goes on under this name.
+    void go_silent();
+    // The answer to /ops/group.
     std::string as_json() const;
     const cluster::Membership& membership() const { return membership_; }
-    // Of a member as it is known here, this one too; empty where it is not.
+    // The record of a member, this one too; empty where it is not known.
     cluster::MemberRecord record_of(const std::string& name) const;
-    int port() const;
+    int port() const;  // -1: not listening
 
   private:
-    struct Exchange;
-    struct Asking;
+    class ExchangeStream;
+    class OutgoingCall;
 
     bool listen();
+    void open_datagram_socket();
+    void accept_stream();
     void listen_later();
     void close();
-    void came(std::string_view bytes);
-    void pump();
-    void arm();
-    void send(const cluster::OutgoingDatagram& out);
+    void on_datagram(std::string_view bytes);
+    void receive_datagram(std::string_view bytes);
+    void reject_datagram(DecodeError reason) { ++metrics_.bad[static_cast<int>(reason)]; }
+    // Carries out what a call of the membership has left: datagrams, changes, an exchange, the next tick.
+    void flush();
+    void schedule_tick();
+    void send(const cluster::OutgoingDatagram& outgoing);
+    bool is_capped(const cluster::OutgoingDatagram& outgoing, SequencedDatagram& sequenced);
     void join();
+    void mark_joined();
     void exchange(const std::string& address, const std::string& name);
-    void ended(Exchange& exchange, bool done);
-    template <typename Owner>
-    void let_go(std::vector<std::unique_ptr<Owner>>& all, Owner& one);
-    void raise_start(std::uint64_t at_least);
-    void tell_changes();
-    base::Micros steady() const;
-    bool on() const { return udp_ != nullptr; }
+    void on_exchange_ended(ExchangeStream& exchange, bool done);
+    template <typename Session>
+    void release_later(std::vector<std::unique_ptr<Session>>& sessions, Session& ended);
+    void raise_start(std::uint64_t start);
+    void report_changes();
+    Json::Value counters_json() const;
+    static base::Micros monotonic_now();
+    bool is_listening() const { return udp_ != nullptr; }
 
     net::Loop& loop_;
     net::SocketBudget& sockets_;
     const config::Cluster setup_;
     const MessageCodec codec_;
-    StartNumber number_;
-    net::BackgroundTask raising_;  // the start number on disk
-    std::mt19937_64 rng_;
+    StartNumber start_number_;
+    net::BackgroundTask start_write_;  // of the start number, to disk
+    std::mt19937_64 random_;
     cluster::Membership membership_;
-    ReplayFilter seen_;
-    ClusterSizeCallback counted_;
-    std::map<std::string, int> told_;
-    RateLimiter datagrams_, exchanges_cap_;
-    std::uint64_t sequence_ = 0;
-    Metrics figures_;
+    ReplayFilter datagram_replay_filter_;
+    ClusterSizeCallback on_size_change_;
+    std::map<std::string, int> reported_size_;
+    RateLimiter datagram_limiter_;
+    RateLimiter exchange_limiter_;
+    std::uint64_t last_sequence_ = 0;
+    Metrics metrics_;
     uv_udp_t* udp_ = nullptr;
     std::unique_ptr<net::Listener> listener_;
-    std::vector<std::unique_ptr<Exchange>> exchanges_;
-    std::vector<std::unique_ptr<Asking>> askings_;
-    std::map<std::string, CallHandler> takes_;  // by verb
-    ReplayFilter calls_seen_;
-    std::uint64_t calls_ = 0;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for answers that come later
-    std::optional<base::TimerQueue::Key> timer_, bind_timer_;
-    std::vector<std::string> to_call_;  // seeds of the round under way
-    base::Micros next_join_ = 0, began_ = 0;
-    bool first_round_ = true, joined_ = false, said_displaced_ = false, gone_ = false;
+    std::vector<std::unique_ptr<ExchangeStream>> exchanges_;
+    std::vector<std::unique_ptr<OutgoingCall>> outgoing_calls_;
+    std::map<std::string, CallHandler> call_handlers_;  // by method
+    ReplayFilter call_replay_filter_;
+    std::uint64_t last_call_number_ = 0;
+    std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);  // for responses that come later
+    std::optional<base::TimerQueue::Key> tick_timer_;
+    std::optional<base::TimerQueue::Key> bind_timer_;
+    std::vector<std::string> seeds_to_contact_;  // of the round under way
+    base::Micros next_join_at_ = 0;
+    base::Micros started_at_ = 0;
+    bool first_seed_round_ = true;
+    bool joined_ = false;
+    bool displacement_logged_ = false;
+    bool stopped_ = false;
 };
 
+// The caller may be within the stream's own callback, so the session is destroyed from the loop.
+template <typename Session>
+void ClusterTransport::release_later(std::vector<std::unique_ptr<Session>>& sessions, Session& ended) {
+    for (auto session = sessions.begin(); session != sessions.end(); ++session) {
+        if (session->get() != &ended) continue;
+        std::shared_ptr<Session> last(session->release());
+        sessions.erase(session);
+        loop_.timers().schedule(loop_.clock().now(), [last] {});
+        return;
+    }
+}
+
 }  // namespace sumackeel::cluster_transport
--- a/src/cluster_transport/start_number.cpp
+++ b/src/cluster_transport/start_number.cpp
@@ -8,40 +8,48 @@
 #include <cstdio>
 
 #include "base/files.h"
+#include "base/log.h"
+#include "base/run_with_timeout.h"
 #include "base/system_error.h"
 
 namespace sumackeel::cluster_transport {
 
 namespace {
 
-constexpr const char* kName = "start";
-constexpr std::size_t kLongest = 256;
+constexpr const char* kFileName = "start";
+constexpr std::size_t kMaxFileBytes = 256;
 
-// "sumackeel-start 1 NUMBER CHECKSUM\n", the checksum over what stands before its blank.
+// "sumackeel-start 1 NUMBER CHECKSUM\n", the checksum over what stands before the space.
 std::string text_of(std::uint64_t number) {
-    const std::string said = fmt::format("sumackeel-start 1 {}", number);
-    return fmt::format("{} {:016x}\n", said, XXH3_64bits(said.data(), said.size()));
+    const std::string content = fmt::format("sumackeel-start 1 {}", number);
+    return fmt::format("{} {:016x}\n", content, XXH3_64bits(content.data(), content.size()));
+}
+
+struct ClaimResult {
+    std::uint64_t number = 0;
+    std::string read_fault;   // empty: none
+    std::string write_fault;  // empty: none
+};
+
+ClaimResult read_and_store_next(const StartNumber& stored) {
+    ClaimResult result;
+    result.number = stored.read(result.read_fault) + 1;
+    result.write_fault = base::retry_directory_at_startup([&] { return stored.write(result.number); });
+    return result;
 }
 
 }  // namespace
 
 std::uint64_t StartNumber::read(std::string& fault) const {
-    const std::string path = folder_ + '/' + kName;
+    const std::string path = folder_ + '/' + kFileName;
     std::string bytes;
-    base::ReadStatus reading{};
+    base::ReadStatus status{};
     base::retry_directory_at_startup([&] {
-        reading = base::read_regular_file(path, kLongest, bytes, fault);
-        return reading == base::ReadStatus::unreadable ? fault : std::string{};
+        status = base::read_regular_file(path, kMaxFileBytes, bytes, fault);
+        return status == base::ReadStatus::unreadable ? fault : std::string{};
     });
-    switch (reading) {
-        case base::ReadStatus::ok:
-            break;
-        case base::ReadStatus::missing:
-            fault.clear();
-            return 0;
-        default:
-            return 0;
-    }
+    if (status == base::ReadStatus::missing) fault.clear();
+    if (status != base::ReadStatus::ok) return 0;
     constexpr std::string_view kHead = "sumackeel-start 1 ";
     std::uint64_t number = 0;
     if (bytes.starts_with(kHead)) {
@@ -56,7 +64,21 @@
 }
 
 std::string StartNumber::write(std::uint64_t number) const {
-    return base::replace_file(folder_, "start.tmp", kName, text_of(number));
+    return base::replace_file(folder_, "start.tmp", kFileName, text_of(number));
+}
+
+std::uint64_t claim_start_number(const StartNumber& stored) {
+    const auto result = base::run_with_timeout(2 * base::kDirectoryResponseTimeout,
+                                               [stored] { return read_and_store_next(stored); });
+    if (!result)
+        throw StartNumberError(StartNumberError::Code::directory_hangs,
+                               "peers: the start number can't be kept: its folder does not answer");
+    if (!result->read_fault.empty())
+        log::error("cluster_transport: start_number_unreadable reason={}", result->read_fault);
+    if (!result->write_fault.empty())
+        throw StartNumberError(StartNumberError::Code::write_failed,
+                               "peers: the start number can't be kept: " + result->write_fault);
+    return result->number;
 }
 
 }  // namespace sumackeel::cluster_transport
--- a/src/cluster_transport/start_number.h
+++ b/src/cluster_transport/start_number.h
@@ -1,9 +1,11 @@
-// The number of a member's start, kept on its disk: a process that comes back under its name is a later life
-// at once, whatever the clocks say.
+// The number of a member's start, kept on its disk: a process that restarts under its name has a later
+// incarnation at once, whatever the clocks say.
 #pragma once
 
 #include <cstdint>
+#include <stdexcept>
 #include <string>
+#include <utility>
 
 namespace sumackeel::cluster_transport {
 
@@ -12,14 +14,29 @@
     // Makes the folder if it is missing.
     explicit StartNumber(std::string folder) : folder_(std::move(folder)) {}
 
-    // The number of the last start; 0: none was kept. `fault` where a file is there that can't be used: it is
-    // set aside, and the number is learned from the others.
+    // The number of the last start; 0: none is stored. `fault` says why where a file can't be used: a damaged
+    // one is renamed, and the number is learned from the other members.
     std::uint64_t read(std::string& fault) const;
-    // On disk before it returns. Empty: done; else what went wrong.
+    // Synced to disk before it returns. Empty: done; else what went wrong.
     std::string write(std::uint64_t number) const;
 
   private:
     std::string folder_;
 };
 
+// Why a start number could not be stored.
+class StartNumberError : public std::runtime_error {
+  public:
+    enum class Code { directory_hangs, write_failed };
+    StartNumberError(Code code, const std::string& text) : std::runtime_error(text), code_(code) {}
+    Code code() const { return code_; }
+
+  private:
+    Code code_;
+};
+
+// The number of this start: one more than the stored one, and stored before it returns. Blocks for a bounded
+// time; throws StartNumberError.
+std::uint64_t claim_start_number(const StartNumber& stored);
+
 }  // namespace sumackeel::cluster_transport
