--- a/tests/cluster_transport/message_codec_test.cpp
+++ b/tests/cluster_transport/message_codec_test.cpp
@@ -17,7 +17,7 @@
 
 const Keys kKeys{{"0123456789abcdef"}};
 
-cluster::MemberRecord word(const std::string& name) {
+cluster::MemberRecord member_record(const std::string& name) {
     return {.name = name,
             .address = "127.0.0.1:9002",
             .zone = "edge-1",
@@ -27,13 +27,13 @@
             .phase = cluster::Phase::alive};
 }
 
-SequencedDatagram numbered() {
+SequencedDatagram sequenced_datagram() {
     return {.datagram = {.kind = cluster::MessageKind::ping_request,
                          .from = "n1",
                          .to = "n2",
                          .number = 9,
                          .subject = "n3",
-                         .records = {word("n1"), word("n4")},
+                         .records = {member_record("n1"), member_record("n4")},
                          .suspicions = {{.suspector = "n1",
                                          .subject = "n4",
                                          .suspector_start = 3,
@@ -64,28 +64,29 @@
 
 }  // namespace
 
-TEST(PeersWire, ADatagramComesBackAsItWas) {
+TEST(MessageCodec, DatagramRoundTrips) {
     const MessageCodec codec("school", kKeys);
     DecodeError bad{};
-    const auto back = codec.decode_datagram(codec.encode_datagram(numbered()), bad);
+    const auto back = codec.decode_datagram(codec.encode_datagram(sequenced_datagram()), bad);
     ASSERT_TRUE(back);
     EXPECT_EQ(back->sequence, 77U);
     EXPECT_EQ(back->start, 3U);
     EXPECT_EQ(back->datagram.subject, "n3");
-    EXPECT_EQ(back->datagram.records, numbered().datagram.records);
-    EXPECT_EQ(back->datagram.suspicions, numbered().datagram.suspicions);
+    EXPECT_EQ(back->datagram.records, sequenced_datagram().datagram.records);
+    EXPECT_EQ(back->datagram.suspicions, sequenced_datagram().datagram.suspicions);
 }
 
-TEST(PeersWire, TheLargestThatIsSentFitsWhatIsRead) {
-    SequencedDatagram full = numbered();
+TEST(MessageCodec, LargestDatagramFitsItsBound) {
+    SequencedDatagram full = sequenced_datagram();
     const std::string name(cluster::kMaxNameLength, 'n');
     full.datagram.from = full.datagram.to = full.datagram.subject = name;
-    full.datagram.records = {word(name)};
+    full.datagram.records = {member_record(name)};
     full.start = full.sequence = full.datagram.number = UINT64_MAX;
-    std::size_t used = cluster::kFrameRoom + 3 * name.size() + cluster::max_encoded_size(word(name));
-    for (cluster::MemberRecord next = word("n5");
+    std::size_t used = cluster::kFrameRoom + 3 * name.size() + cluster::max_encoded_size(member_record(name));
+    for (cluster::MemberRecord next = member_record("n5");
          used + cluster::max_encoded_size(next) <= cluster::kMaxDatagramBytes;) {
-        next.incarnation = {UINT64_MAX, UINT64_MAX}, next.instance_id = UINT64_MAX;
+        next.incarnation = {UINT64_MAX, UINT64_MAX};
+        next.instance_id = UINT64_MAX;
         used += cluster::max_encoded_size(next);
         full.datagram.records.push_back(next);
     }
@@ -93,9 +94,9 @@
     EXPECT_LE(codec.encode_datagram(full).size(), cluster::kMaxDatagramBytes);
 }
 
-TEST(PeersWire, EachFlippedByteAndEachCutIsRefused) {
+TEST(MessageCodec, RejectsEachChangedByteAndEachTruncation) {
     const MessageCodec codec("school", kKeys);
-    const std::string sound = codec.encode_datagram(numbered());
+    const std::string sound = codec.encode_datagram(sequenced_datagram());
     DecodeError bad{};
     for (std::size_t at = 0; at < sound.size(); ++at) {
         std::string flipped = sound;
@@ -107,8 +108,8 @@
     EXPECT_EQ(bad, DecodeError::oversized);
 }
 
-TEST(PeersWire, OtherKeysAndGroupsAreTurnedAwayAndAnOldKeyIsStillRead) {
-    const std::string bytes = MessageCodec("school", kKeys).encode_datagram(numbered());
+TEST(MessageCodec, RejectsOtherKeysAndClustersAndAcceptsAnOldKey) {
+    const std::string bytes = MessageCodec("school", kKeys).encode_datagram(sequenced_datagram());
     DecodeError bad{};
     EXPECT_FALSE(MessageCodec("school", {{"another key of ours"}}).decode_datagram(bytes, bad));
     EXPECT_EQ(bad, DecodeError::wrong_mac);
@@ -117,14 +118,14 @@
     EXPECT_TRUE(MessageCodec("school", {{"another key of ours", kKeys.all[0]}}).decode_datagram(bytes, bad));
 }
 
-TEST(PeersWire, AFrameComesBackAsItWasAndIsNoDatagram) {
+TEST(MessageCodec, FrameRoundTripsAndIsNoDatagram) {
     const MessageCodec codec("school", kKeys);
     ExchangeFrame frame{.step = ExchangeStep::state,
                         .to = "n2",
                         .digest = 5,
                         .state = {.from = "n1",
-                                  .records = numbered().datagram.records,
-                                  .suspicions = numbered().datagram.suspicions}};
+                                  .records = sequenced_datagram().datagram.records,
+                                  .suspicions = sequenced_datagram().datagram.suspicions}};
     const std::string bytes = codec.encode_frame(frame);
     DecodeError bad{};
     const auto back = codec.decode_frame(std::string_view(bytes).substr(4), bad);
@@ -134,7 +135,7 @@
     EXPECT_FALSE(codec.decode_datagram(std::string_view(bytes).substr(4), bad));
 }
 
-TEST(PeersSeen, EachNumberOfEachStartCountsOnceInAnyOrder) {
+TEST(ReplayFilter, AcceptsEachSequenceNumberOfAStartOnceInAnyOrder) {
     ReplayFilter seen;
     EXPECT_TRUE(seen.accept("a", 1, 10));
     EXPECT_FALSE(seen.accept("a", 1, 10));
@@ -149,15 +150,15 @@
     EXPECT_TRUE(seen.accept("b", 1, 10));
 }
 
-TEST(PeersMeter, SavesUpNoMoreThanASecond) {
-    RateLimiter meter(1000);
-    meter.spend(1500);
-    EXPECT_DOUBLE_EQ(meter.available(0), -500);
-    EXPECT_DOUBLE_EQ(meter.available(700'000), 200);
-    EXPECT_DOUBLE_EQ(meter.available(60'000'000), 1000);
+TEST(RateLimiter, AccumulatesAtMostOneSecond) {
+    RateLimiter limiter(1000);
+    limiter.spend(1500);
+    EXPECT_DOUBLE_EQ(limiter.available(0), -500);
+    EXPECT_DOUBLE_EQ(limiter.available(700'000), 200);
+    EXPECT_DOUBLE_EQ(limiter.available(60'000'000), 1000);
 }
 
-TEST(PeersStartNumber, IsKeptAndADamagedFileIsSetAside) {
+TEST(StartNumber, IsStoredAndADamagedFileIsRenamed) {
     const Scratch scratch;
     const StartNumber number(scratch.path + "/state");
     std::string fault;
@@ -178,7 +179,7 @@
     EXPECT_TRUE(std::filesystem::exists(scratch.path + "/state/start.bad"));
 }
 
-TEST(PeersKeys, AShortOrMissingKeyIsRefusedInPlainWords) {
+TEST(Keys, RejectsAShortOrMissingKey) {
     const Scratch scratch;
     EXPECT_THROW(load_keys(scratch.path + "/none"), config::ConfigError);
     scratch.write("key", "short\n");
