--- /dev/null
+++ b/src/daemon/admin_state_applier.cpp
@@ -0,0 +1,63 @@
+#include "daemon/admin_state_applier.h"
+
+namespace sumackeel::daemon {
+
+void AdminStateApplier::on_state_changed() {
+    apply();
+    components_.handover.keep();
+    persist();
+}
+
+void AdminStateApplier::apply() {
+    Components& parts = components_;
+    parts.endpoint_manager->set_bans(effective_bans());
+    update_drain_schedule();
+    const bool draining = parts.admin_state.is_draining_clients();
+    parts.platform_server.set_draining(draining, parts.drain_schedule);
+    parts.platform_server.set_ready(parts.admin_state.is_ready());
+    if (parts.signed_url_server) parts.signed_url_server->set_draining(draining, parts.drain_schedule);
+    parts.drain_report->now(parts.drain_schedule);
+}
+
+// The leases that were persisted hold until the replicated log is known again.
+void AdminStateApplier::persist() {
+    const Components& parts = components_;
+    if (!parts.recovery || parts.admin_state.phase() == admin::ProcessPhase::starting) return;
+    std::set<std::string> leased;
+    if (parts.consensus_client)
+        leased =
+            parts.consensus_client->is_known() ? leased_pop_caches() : parts.recovery->persisted().leased;
+    parts.recovery->persist(parts.admin_state.bans(), leased, parts.admin_state.drain_requested());
+}
+
+// Those of the operators, those of leases, and until their present form is known those that were persisted.
+std::set<std::string> AdminStateApplier::effective_bans() const {
+    const Components& parts = components_;
+    std::set<std::string> bans = parts.admin_state.bans();
+    if (parts.recovery && parts.admin_state.phase() == admin::ProcessPhase::starting)
+        bans.insert(parts.recovery->persisted().bans.begin(), parts.recovery->persisted().bans.end());
+    if (!parts.consensus_client) return bans;
+    bans.merge(leased_pop_caches());
+    if (parts.recovery && !parts.consensus_client->is_known())
+        bans.insert(parts.recovery->persisted().leased.begin(), parts.recovery->persisted().leased.end());
+    return bans;
+}
+
+std::set<std::string> AdminStateApplier::leased_pop_caches() const {
+    std::set<std::string> leased;
+    for (const auto& [key, lease] : components_.consensus_client->state().leases())
+        if (key.first == rollout::MemberKind::pop_cache) leased.insert(key.second);
+    return leased;
+}
+
+// A drain counts from the call that was first accepted, also where it is called again. One under way when the
+// process is shut down goes on.
+void AdminStateApplier::update_drain_schedule() {
+    Components& parts = components_;
+    const admin::ProcessPhase phase = parts.admin_state.phase();
+    if (phase == admin::ProcessPhase::draining && !parts.drain_schedule.is_active())
+        parts.drain_schedule = admin::DrainSchedule(parts.loop.clock().now());
+    if (phase == admin::ProcessPhase::serving) parts.drain_schedule = {};
+}
+
+}  // namespace sumackeel::daemon
--- /dev/null
+++ b/src/daemon/admin_state_applier.h
@@ -0,0 +1,32 @@
+// Carries out the administrative state: bans, the drain and readiness reach the servers and the router, and
+// the state is kept for the next process and for recovery.
+#pragma once
+
+#include <set>
+#include <string>
+
+#include "daemon/components.h"
+
+namespace sumackeel::daemon {
+
+class AdminStateApplier {
+  public:
+    // The components must outlive this.
+    explicit AdminStateApplier(Components& components) : components_(components) {}
+
+    // Brings the servers and the router to the state as it stands: bans, draining, readiness. Idempotent.
+    void apply();
+    // Persists bans, leases and the drain for recovery after a loss of power; nothing while starting.
+    void persist();
+    // The state has changed: applies it, hands it over and persists it.
+    void on_state_changed();
+
+  private:
+    std::set<std::string> effective_bans() const;
+    std::set<std::string> leased_pop_caches() const;
+    void update_drain_schedule();
+
+    Components& components_;
+};
+
+}  // namespace sumackeel::daemon
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,41 +1,52 @@
-// The daemon: everything put together round one loop.
+// The edge proxy as a whole: its parts, composed round one loop.
 #pragma once
 
 #include <cstdint>
 #include <memory>
+#include <string>
 
 #include "config/config.h"
 #include "config/operator.h"
 
 namespace sumackeel::daemon {
 
-// Where the configuration came from and is read anew from on SIGHUP; empty: there is no such file.
+// Files that the process was started with. An empty path: there is no such file.
 struct Files {
-    std::string config, setup;
-    // What crosses an upgrade (the operators' bans and drain), in $TMPDIR; empty: nothing is handed over.
-    std::string hand_over;
+    std::string config;     // the platform's configuration, read again by reload()
+    std::string setup;      // the operator's settings, read again by reload()
+    std::string hand_over;  // administrative state that outlives an upgrade; empty: nothing is handed over
 };
 
 class Daemon {
   public:
-    // Config and setup must outlive the daemon.
+    // Listens and starts all parts. Both configurations must outlive the daemon. Throws what the parts throw
+    // where an address or a file can't be used.
     Daemon(const config::Config& config, const config::Operator& setup, Files files = {});
     ~Daemon();
-    void run();     // until it was told to end and all that was open is answered
-    void end();     // as on SIGTERM; from any thread
-    void reload();  // as on SIGHUP; from any thread
-    void stop();    // at once, with all that is open; from any thread
-    // A read or write of a disk is under way, and may hang; ending in the usual way would wait for it. Ask
-    // after run() only.
+    Daemon(const Daemon&) = delete;
+    Daemon& operator=(const Daemon&) = delete;
+
+    // Runs the loop until the process was shut down gracefully or stopped.
+    void run();
+
+    // From any thread.
+    void end();     // graceful shutdown, as on SIGTERM
+    void reload();  // reads the configuration again, as on SIGHUP
+    void stop();    // ends run() at once, whatever is open
+
+    // A read or write of a disk is under way, and may hang; destroying the daemon would wait for it. Valid
+    // once run() has returned.
     bool disk_busy() const;
-    std::uint64_t reloads() const;  // read and decided since the start; from any thread
-    int port() const;               // of the platform's front
-    int signed_port() const;        // of the front for signed links; -1: it is off
-    int ops_port() const;           // of the operators' address; -1: there is none
+    // Reloads that were decided since the start, whether applied or rejected; from any thread.
+    std::uint64_t reloads() const;
+
+    int port() const;         // of the platform's server
+    int signed_port() const;  // of the server for signed URLs; -1: it is off
+    int ops_port() const;     // of the admin API; -1: it is off
 
   private:
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    class Process;
+    std::unique_ptr<Process> process_;
 };
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/durable_replies.h
+++ b/src/daemon/durable_replies.h
@@ -23,6 +23,8 @@
 
     DurableReplies(net::Loop& loop, Disks disks) : loop_(loop), disks_(std::move(disks)) {}
     ~DurableReplies();
+    DurableReplies(const DurableReplies&) = delete;
+    DurableReplies& operator=(const DurableReplies&) = delete;
 
     // The reply at once, or none: then by `later`.
     std::optional<admin::ApiReply> reply_when_durable(admin::ApiReply reply,
--- a/src/daemon/endpoint_manager.h
+++ b/src/daemon/endpoint_manager.h
@@ -26,6 +26,7 @@
                     const config::Operator& setup);
     EndpointManager(const EndpointManager&) = delete;
     EndpointManager& operator=(const EndpointManager&) = delete;
+    ~EndpointManager() = default;
 
     // The configuration was read anew: change logs may be elsewhere, and events may stand in it.
     void update_config(const config::Config& config, const config::Operator& setup);
--- /dev/null
+++ b/src/daemon/lease_controller.cpp
@@ -0,0 +1,206 @@
+#include "daemon/lease_controller.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <cstddef>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "base/log.h"
+#include "daemon/release_api.h"
+
+namespace sumackeel::daemon {
+
+using base::Micros;
+
+namespace {
+
+constexpr Micros kReturnRetryDelay = 500'000;
+constexpr std::size_t kBytesPerKilobyte = 1024;
+
+}  // namespace
+
+void LeaseController::start(const config::Consensus& settings) {
+    Components& parts = components_;
+    parts.budget_view =
+        std::make_unique<DisruptionBudgetView>(parts.config.site, settings.removed_counts_for);
+    parts.consensus_client = std::make_unique<consensus::ConsensusClient>(
+        parts.loop, *parts.cluster_transport, settings, parts.has_inherited_socket(),
+        [&parts](rollout::MemberKind kind) {
+            return kind == rollout::MemberKind::proxy
+                       ? parts.budget_view->proxies(parts.cluster_transport->membership(),
+                                                    parts.admin_state.is_draining_clients())
+                       : parts.budget_view->pop_caches(parts.endpoint_manager->view(),
+                                                       parts.loop.clock().now());
+        },
+        [this, &parts](const rollout::State& state) {
+            log::info("consensus: state_changed revision={} leases={}", state.revision(),
+                      state.leases().size());
+            applier_.apply();
+            applier_.persist();
+            follow_own_lease();
+            if (parts.release_coordinator) parts.release_coordinator->changed();
+        });
+    parts.release_coordinator = std::make_unique<consensus::ReleaseCoordinator>(
+        parts.loop, *parts.cluster_transport, *parts.consensus_client, [this] { return member_metrics(); },
+        [&parts] { return parts.admin_state.is_ready(); });
+}
+
+void LeaseController::adopt_drain_request() {
+    drain_wanted_ = components_.admin_state.drain_requested();
+}
+
+// An upgrade lease is finished once this process replaced the one that it was granted to, runs the release's
+// version, or no release is active.
+void LeaseController::follow_own_lease() {
+    Components& parts = components_;
+    if (!parts.consensus_client) return;
+    const cluster::MemberRecord& self = parts.cluster_transport->membership().self();
+    const rollout::State& state = parts.consensus_client->state();
+    const rollout::Lease* lease = state.find(rollout::MemberKind::proxy, self.name);
+    const rollout::Release* release = state.releases().active();
+    if (lease && lease->release != 0 && lease->number != stopped_lease_ &&
+        parts.admin_state.phase() != admin::ProcessPhase::starting) {
+        const bool finished = self.incarnation.start > lease->start || !release ||
+                              self.software_version == release->target_version();
+        if (finished == drain_wanted_) {
+            drain_wanted_ = !finished;
+            if (finished)
+                parts.admin_state.stop_drain();
+            else
+                parts.admin_state.start_drain();
+            applier_.on_state_changed();
+        }
+    }
+    return_own_lease();
+}
+
+// A lease of this proxy that serves again, or that was replaced by a process that does, has no other owner.
+void LeaseController::return_own_lease() {
+    Components& parts = components_;
+    const std::string& name =
+        parts.cluster_transport ? parts.cluster_transport->membership().self().name : parts.config.name;
+    if (!parts.consensus_client || drain_wanted_ || return_in_progress_ || !parts.admin_state.is_ready() ||
+        !parts.consensus_client->state().find(rollout::MemberKind::proxy, name))
+        return;
+    return_in_progress_ = true;
+    parts.consensus_client->return_lease(rollout::MemberKind::proxy, name, name,
+                                         [this, &parts](const std::optional<rollout::CommandResult>& result) {
+                                             return_in_progress_ = false;
+                                             if (result) return;
+                                             parts.loop.timers().schedule(
+                                                 parts.loop.clock().now() + kReturnRetryDelay,
+                                                 [this] { return_own_lease(); });
+                                         });
+}
+
+bool LeaseController::handle_lease_call(const admin::ApiCall& call,
+                                        const admin_server::DeferredReply& later) {
+    using Action = admin::ParsedPath::Action;
+    const admin::ParsedPath parsed = admin::parse_path(call.path.substr(0, call.path.find('?')));
+    if (call.method != "POST" || parsed.action == Action::other) return false;
+    const bool is_drain = parsed.action == Action::drain_start || parsed.action == Action::drain_stop;
+    // An endpoint that nobody knows is rejected where calls without leases are.
+    if (!is_drain && (!admin::is_valid_id(parsed.id) || !components_.endpoint_manager->is_known(parsed.id)))
+        return false;
+    const std::string self = components_.cluster_transport->membership().self().name;
+    const LeaseCall lease_call{
+        .target = is_drain ? Target{rollout::MemberKind::proxy, self}
+                           : Target{rollout::MemberKind::pop_cache, parsed.id},
+        .requested_by = self,
+        .forced = call.path.ends_with("?force=1"),
+    };
+    if (parsed.action == Action::down || parsed.action == Action::drain_start)
+        request_lease(lease_call, later);
+    else
+        return_lease(lease_call, later);
+    return true;
+}
+
+void LeaseController::request_lease(const LeaseCall& call, const admin_server::DeferredReply& later) {
+    if (call.target.kind == rollout::MemberKind::proxy) drain_wanted_ = true;
+    components_.consensus_client->request_lease(
+        call.target.kind, call.target.member, call.requested_by, call.forced,
+        [this, later, target = call.target](const std::optional<rollout::CommandResult>& result) {
+            later(on_lease_result(result, target));
+        });
+}
+
+void LeaseController::return_lease(const LeaseCall& call, const admin_server::DeferredReply& later) {
+    Components& parts = components_;
+    const auto& [kind, member] = call.target;
+    if (kind == rollout::MemberKind::proxy) {
+        if (const rollout::Lease* lease = parts.consensus_client->state().find(kind, member))
+            stopped_lease_ = lease->number;
+        drain_wanted_ = false;
+        parts.admin_state.stop_drain();
+        applier_.on_state_changed();
+    }
+    parts.consensus_client->return_lease(
+        kind, member, call.requested_by,
+        [later, member = call.target.member](const std::optional<rollout::CommandResult>& result) {
+            later(result ? admin::ApiReply{200, "up " + member + "\n", false} : no_majority_reply());
+        });
+}
+
+admin::ApiReply LeaseController::on_lease_result(const std::optional<rollout::CommandResult>& result,
+                                                 const Target& target) {
+    Components& parts = components_;
+    if (target.kind != rollout::MemberKind::proxy) return lease_reply(result, target.member);
+    const bool granted = result && result->outcome == rollout::Outcome::granted;
+    if (!granted) {
+        drain_wanted_ = parts.admin_state.drain_requested();
+        return lease_reply(result, target.member);
+    }
+    // A process that is shutting down or not ready yet can't drain; the lease goes back.
+    if (parts.admin_state.start_drain() != admin::ChangeResult::accepted) {
+        drain_wanted_ = false;
+        parts.consensus_client->return_lease(rollout::MemberKind::proxy, target.member, target.member,
+                                             [](const auto&) {});
+        return {409, fmt::format("not while {}\n", admin::name_of(parts.admin_state.phase())), false};
+    }
+    applier_.on_state_changed();
+    return lease_reply(result, target.member);
+}
+
+std::optional<admin::ApiReply> LeaseController::handle_release_call(
+    const admin::ApiCall& call, const admin_server::DeferredReply& later) {
+    Components& parts = components_;
+    if (call.path == "/ops/release" && call.method == "GET")
+        return admin::ApiReply{200, parts.release_coordinator->as_json(), false};
+    const cluster::Membership& membership = parts.cluster_transport->membership();
+    std::vector<std::string> proxies;
+    for (const rollout::FleetMember& proxy : parts.budget_view->proxies(membership, false))
+        proxies.push_back(proxy.name);
+    std::sort(proxies.begin(), proxies.end());
+    return daemon::handle_release_call(*parts.consensus_client, call, later, proxies, membership.self().name,
+                                       [this] { on_upgrade_lease_granted(); });
+}
+
+// At once: the replicated log's own notification comes later.
+void LeaseController::on_upgrade_lease_granted() {
+    if (std::exchange(drain_wanted_, true)) return;
+    components_.admin_state.start_drain();
+    applier_.on_state_changed();
+}
+
+rollout::MemberMetrics LeaseController::member_metrics() const {
+    const core::Metrics& metrics = components_.core.metrics();
+    const auto count = [&metrics](core::ResponseStatus status) {
+        return metrics.responses[static_cast<std::size_t>(status)];
+    };
+    rollout::MemberMetrics result;
+    result.served = count(core::ResponseStatus::served) + count(core::ResponseStatus::not_modified);
+    result.rejected = count(core::ResponseStatus::rejected);
+    result.failed = count(core::ResponseStatus::failed) + count(core::ResponseStatus::deadline_exceeded);
+    result.latency_histogram = metrics.latency_histogram;
+    result.dispatch_time_us = metrics.dispatch_time_us;
+    result.dispatched = metrics.dispatched;
+    std::size_t resident_bytes = 0;
+    if (uv_resident_set_memory(&resident_bytes) == 0) result.memory_kb = resident_bytes / kBytesPerKilobyte;
+    return result;
+}
+
+}  // namespace sumackeel::daemon
--- /dev/null
+++ b/src/daemon/recovery_controller.h
@@ -0,0 +1,39 @@
+// Recovery after a loss of power, wired to the rest of the daemon: what it is told of purges, of the endpoint
+// list and of the leader, and what it admits. Off unless the operator's settings have [recovery].
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "daemon/admin_state_applier.h"
+#include "daemon/components.h"
+
+namespace sumackeel::daemon {
+
+class RecoveryController {
+  public:
+    // Both must outlive this.
+    RecoveryController(Components& components, AdminStateApplier& applier)
+        : components_(components), applier_(applier) {}
+
+    // Makes the coordinator. What one proxy has persisted binds from this moment on, ready or not.
+    void start(const config::Recovery& settings);
+
+  private:
+    using Coordinator = recovery_coordinator::RecoveryCoordinator;
+
+    Coordinator::Hooks coordinator_hooks();
+    std::vector<Coordinator::RecentPurge> recent_purges() const;
+    void learn_purges(const std::vector<Coordinator::RecentPurge>& recent);
+    void on_phase_entered();
+    void on_served(const core::Request& request, const std::string& source, routing::CacheStatus status);
+    std::optional<base::Micros> admit(const core::Request& request);
+    void check_prerequisites();
+
+    Components& components_;
+    AdminStateApplier& applier_;
+    bool consensus_was_known_ = false;  // at the last check
+};
+
+}  // namespace sumackeel::daemon
--- a/src/daemon/release_api.cpp
+++ b/src/daemon/release_api.cpp
@@ -14,10 +14,6 @@
 
 constexpr std::string_view kHead = "/ops/release/", kTurn = "turn/";
 
-admin::ApiReply no_majority() {
-    return {503, "no majority of the voters answered, call again\n", false};
-}
-
 // The rule that holds it back, and who is out.
 std::string why_not(const CommandResult& answer) {
     return fmt::format("{}{}{}", answer.reason,
@@ -33,8 +29,12 @@
 
 }  // namespace
 
+admin::ApiReply no_majority_reply() {
+    return {503, "no majority of the voters answered, call again\n", false};
+}
+
 admin::ApiReply lease_reply(const std::optional<CommandResult>& answer, const std::string& member) {
-    if (!answer) return no_majority();
+    if (!answer) return no_majority_reply();
     if (answer->outcome == Outcome::granted)
         return {200,
                 fmt::format("{} out by lease {}{}{}\n", member, answer->number,
@@ -86,7 +86,7 @@
             return admin::ApiReply{400, fmt::format("{}\n", wrong.what()), false};
         }
     agreed.submit_release_command(order, [later, verb](const std::optional<CommandResult>& answer) {
-        if (!answer) return later(no_majority());
+        if (!answer) return later(no_majority_reply());
         if (answer->outcome != Outcome::granted)
             return later({409, fmt::format("not now: {}\n", answer->reason), false});
         later({200, fmt::format("release {}: {}\n", answer->number, name_of(*verb)), false});
--- a/src/daemon/release_api.h
+++ b/src/daemon/release_api.h
@@ -12,6 +12,8 @@
 
 namespace sumackeel::daemon {
 
+// No majority of the voters answered a command in time.
+admin::ApiReply no_majority_reply();
 // A leave's or a turn's answer. None: no majority.
 admin::ApiReply lease_reply(const std::optional<rollout::CommandResult>& answer, const std::string& member);
 // Whether it is out, may leave, or why not, by what this proxy knows.
--- /dev/null
+++ b/src/daemon/shutdown_controller.cpp
@@ -0,0 +1,95 @@
+#include "daemon/shutdown_controller.h"
+
+#include "base/log.h"
+
+namespace sumackeel::daemon {
+
+using base::Micros;
+
+namespace {
+
+// After SIGTERM connections still come for 0.4 s and requests for a further 0.2 s. Where the socket was
+// inherited, the process that replaces this one accepts them on it, and is ready before SIGTERM.
+constexpr Micros kKeepAcceptingFor = 1'000'000;
+// A client connected just before the listener closed sends its request within this.
+constexpr Micros kFirstRequestTimeout = 2'000'000;
+constexpr Micros kCheckInterval = 20'000;
+constexpr Micros kMicrosPerMilli = 1'000;
+
+}  // namespace
+
+void ShutdownController::start() {
+    if (started_at_) return;
+    Components& parts = components_;
+    started_at_ = parts.loop.clock().now();
+    parts.admin_state.on_shutdown();
+    parts.handover.end();
+    applier_.apply();
+    deadlines_ = shutdown_deadlines(parts.core.settings());
+    parts.core.set_shutdown_deadline(started_at_ + deadlines_.final_responses);
+    if (parts.has_inherited_socket()) parts.platform_server.stop_listening(true);
+    log::info("shutdown: started open_requests={}", parts.core.open_requests());
+    if (parts.signed_url_server) parts.signed_url_server->shut_down();
+    if (parts.consensus_client) parts.consensus_client->close();
+    // Where the socket was inherited another process goes on under this member's name: it does not leave.
+    if (parts.cluster_transport) {
+        if (parts.has_inherited_socket())
+            parts.cluster_transport->go_silent();
+        else
+            parts.cluster_transport->leave();
+    }
+    parts.endpoint_manager->write_last_snapshot();
+    check();
+}
+
+void ShutdownController::check() {
+    Components& parts = components_;
+    const Micros now = parts.loop.clock().now();
+    const Micros elapsed = now - started_at_;
+    const Micros accept_for = parts.has_inherited_socket() ? 0 : kKeepAcceptingFor;
+    const bool accepting_ended = elapsed >= accept_for;
+    if (accepting_ended) stop_listening();
+    const bool finished = is_work_finished();
+    // Half a request may be completed at any moment, and bytes that were not read may be one. Closed now,
+    // its client would never get the response that it is owed while this process runs.
+    if (accepting_ended && finished && !has_pending_input() && elapsed >= accept_for + kFirstRequestTimeout)
+        close_idle_connections();
+    if ((accepting_ended && finished && !has_connections()) || elapsed > deadlines_.exit) {
+        log::info("shutdown: finished after_ms={} open_requests={} connections={}", elapsed / kMicrosPerMilli,
+                  parts.core.open_requests(), parts.platform_server.connection_count());
+        parts.loop.stop();
+        return;
+    }
+    parts.loop.timers().schedule(now + kCheckInterval, [this] { check(); });
+}
+
+bool ShutdownController::is_work_finished() const {
+    Components& parts = components_;
+    return parts.core.open_requests() == 0 && !parts.platform_server.has_unsent_responses() &&
+           !(parts.signed_url_server && parts.signed_url_server->has_unsent_responses()) &&
+           !parts.handover.disk().has_unwritten();
+}
+
+bool ShutdownController::has_pending_input() const {
+    const Components& parts = components_;
+    return parts.platform_server.has_pending_input() ||
+           (parts.signed_url_server && parts.signed_url_server->has_pending_input());
+}
+
+bool ShutdownController::has_connections() const {
+    const Components& parts = components_;
+    return parts.platform_server.connection_count() > 0 ||
+           (parts.signed_url_server && parts.signed_url_server->connection_count() > 0);
+}
+
+void ShutdownController::stop_listening() {
+    components_.platform_server.stop_listening(components_.has_inherited_socket());
+    if (components_.signed_url_server) components_.signed_url_server->stop_listening();
+}
+
+void ShutdownController::close_idle_connections() {
+    components_.platform_server.close_all_idle();
+    if (components_.signed_url_server) components_.signed_url_server->close_all_idle();
+}
+
+}  // namespace sumackeel::daemon
--- /dev/null
+++ b/src/daemon/startup_controller.h
@@ -0,0 +1,35 @@
+// Start-up: when this process takes over the administrative state of the one before it, and with that becomes
+// ready.
+#pragma once
+
+#include "daemon/admin_state_applier.h"
+#include "daemon/components.h"
+#include "daemon/lease_controller.h"
+
+namespace sumackeel::daemon {
+
+class StartupController {
+  public:
+    // All must outlive this.
+    StartupController(Components& components, AdminStateApplier& applier, LeaseController& leases)
+        : components_(components), applier_(applier), leases_(leases) {}
+
+    // The process is ready once it listens, has read what was handed over, and knows the replicated log and
+    // with it the fleet's bans. It does not wait for ever: where no voter answers it serves by what it knows.
+    void start();
+    // Start-up is given up, as the process shuts down.
+    void cancel() { cancelled_ = true; }
+    // What was handed over is part of the administrative state now. `has_unkept_change`: a call changed the
+    // state before that, and it is still to be kept.
+    void on_state_taken_over(bool has_unkept_change);
+
+  private:
+    void take_over_when_known(base::Micros latest);
+
+    Components& components_;
+    AdminStateApplier& applier_;
+    LeaseController& leases_;
+    bool cancelled_ = false;
+};
+
+}  // namespace sumackeel::daemon
--- a/tests/daemon/handover_test.py
+++ b/tests/daemon/handover_test.py
@@ -93,9 +93,9 @@
     print(f"answered {counts['answered']}, other answers {counts['other']}, lost {counts['lost']}, "
           f"old status {status}, cache served {served[0]}")
     with open(os.path.join(folder, f"{old_ops}.log")) as log:
-        told = [line for line in log if "ended" in line]
+        shutdown_lines = [line for line in log if "shutdown: finished" in line]
     failed = counts["lost"] > 0 or counts["other"] > 0 or status != 0 or counts["answered"] < 20
-    failed = failed or not banned_still or not stats_ok or not told
+    failed = failed or not banned_still or not stats_ok or not shutdown_lines
     print("1 passed, 0 failed" if not failed else "0 passed, 1 failed")
     sys.exit(1 if failed else 0)
 
--- a/tests/daemon/start_test.py
+++ b/tests/daemon/start_test.py
@@ -57,13 +57,13 @@
 
 def signals_while_starting(program, folder):
     proc, log = held_in_its_start(program, folder, signal.SIGHUP)
-    if not until(log, "configuration read anew", proc):
+    if not until(log, "reload: applied", proc):
         fail(f"SIGHUP while starting: status {proc.poll()}, no reload")
     proc.send_signal(signal.SIGTERM)
     if proc.wait(BOUND_S) != 0:
         fail("SIGTERM behind it: not an end in order")
     proc, log = held_in_its_start(program, folder, signal.SIGTERM)
-    if proc.wait(BOUND_S) != 0 or not until(log, "told to end", proc):
+    if proc.wait(BOUND_S) != 0 or not until(log, "shutdown: started", proc):
         fail(f"SIGTERM while starting: status {proc.returncode}")
 
 
