--- a/src/rollout/release_simulation.cpp
+++ b/src/rollout/release_simulation.cpp
@@ -2,183 +2,250 @@
 
 #include <algorithm>
 #include <random>
+#include <utility>
+
+#include "rollout/release_watch.h"
 
 namespace sumackeel::rollout {
 
 namespace {
 
-constexpr Micros kLook = 500'000;  // as the leader looks
-
-struct Player {
-    FleetMember seen;
-    RunningVersion runs;
-    MemberMetrics tally;
-    Micros back_at = 0, waits_since = -1;  // back_at: its change is done; 0: none under way
+constexpr Micros kTick = 500'000;                     // as often as the leader looks
+constexpr Micros kRetryInterval = 1 * base::kSecond;  // of rejected lease requests, where an interval binds
+constexpr std::size_t kSimulatedLatencyBucket = 2;    // responses take up to 4 ms
+constexpr const char* kRequester = "rehearsal";
+
+struct SimulatedMember {
+    FleetMember member;
+    RunningVersion running;
+    MemberMetrics metrics;
+    std::optional<Micros> changed_at;     // when its change under way is complete
+    std::optional<Micros> waiting_since;  // for an upgrade lease
     bool dead = false;
 };
 
-class Play {
+class Simulation {
   public:
-    explicit Play(const SimulationPlan& given) : given_(given), chance_(given.seed) {
-        for (const FleetMember& seen : given.fleet)
-            players_[seen.name] = {seen, {1, given.plan.from}, {}, 0, -1, seen.unavailable};
-        ReleaseCommand order{.action = ReleaseAction::start,
-                             .requested_by = "rehearsal",
-                             .now = 0,
-                             .plan = given.plan,
-                             .live_members = {}};
-        for (const auto& [name, player] : players_)
-            if (!player.dead) order.live_members.push_back(name);
-        if (const CommandResult answer = state_.apply(order); answer.outcome != Outcome::granted)
-            done_.reason = answer.reason;
+    explicit Simulation(const SimulationPlan& given) : given_(given), random_(given.seed) {
+        for (const FleetMember& member : given.fleet)
+            members_[member.name] = {.member = member,
+                                     .running = {1, given.plan.from},
+                                     .metrics = {},
+                                     .changed_at = {},
+                                     .waiting_since = {},
+                                     .dead = member.unavailable};
+        start_release();
     }
 
-    SimulationResult play() {
+    SimulationResult run() {
         while (state_.releases().active() && now_ < given_.longest) {
-            now_ += kLook;
-            for (auto& [name, player] : players_) live(name, player);
-            if (changed_ || (given_.budget.min_interval_in_zone > 0 && now_ - asked_ >= base::kSecond)) ask();
-            look();
-            measure();
-            if (const Release* release = state_.releases().active();
-                release && release->stage == ReleaseStage::halted)
-                break;
+            now_ += kTick;
+            for (auto& [name, member] : members_) advance(name, member);
+            const bool interval_binds = given_.budget.min_interval_in_zone > 0;
+            if (state_changed_ || (interval_binds && now_ - last_requests_ >= kRetryInterval))
+                request_leases();
+            propose_step();
+            measure_disruption();
+            const Release* release = state_.releases().active();
+            if (release && release->stage == ReleaseStage::halted) break;
         }
+        return finish();
+    }
+
+  private:
+    void start_release() {
+        ReleaseCommand command{.action = ReleaseAction::start,
+                               .requested_by = kRequester,
+                               .now = 0,
+                               .plan = given_.plan,
+                               .live_members = {}};
+        for (const auto& [name, member] : members_)
+            if (!member.dead) command.live_members.push_back(name);
+        const CommandResult result = state_.apply(command);
+        if (result.outcome != Outcome::granted) result_.reason = result.reason;
+    }
+
+    SimulationResult finish() {
         const Release* release = state_.releases().active();
         if (!release && !state_.releases().past().empty()) release = &state_.releases().past().back();
-        if (release) done_.stage = release->stage, done_.reason = release->reason;
-        done_.took = now_;
-        done_.met = all_ > 0 ? new_ / all_ : 0;
-        for (const auto& [name, player] : players_)
-            done_.changed += player.runs.version == given_.plan.to ? 1 : 0;
-        return done_;
+        if (release) {
+            result_.stage = release->stage;
+            result_.reason = release->reason;
+        }
+        result_.took = now_;
+        result_.met = requests_ > 0 ? requests_to_new_version_ / requests_ : 0;
+        for (const auto& [name, member] : members_)
+            if (runs_new_version(member)) ++result_.changed;
+        return result_;
     }
 
-  private:
-    bool serves(const std::string& name, const Player& player) const {
-        return !player.dead && !state_.find(MemberKind::proxy, name);
+    bool is_serving(const std::string& name, const SimulatedMember& member) const {
+        return !member.dead && !state_.find(MemberKind::proxy, name);
+    }
+    bool runs_new_version(const SimulatedMember& member) const {
+        return member.running.version == given_.plan.to;
     }
 
-    void live(const std::string& name, Player& player) {
+    void advance(const std::string& name, SimulatedMember& member) {
         const auto death = given_.dies.find(name);
-        if (death != given_.dies.end() && now_ >= death->second && !player.dead)
-            player.dead = changed_ = true;
-        if (player.dead) return;
-        if (player.back_at > 0 && now_ >= player.back_at) {
-            player.back_at = 0;
-            player.runs = {player.runs.start + 1, wanted_};
-            player.tally = {};
-            state_.apply(LeaseReturn{MemberKind::proxy, name, name, now_, player.runs});
-            changed_ = true;
+        if (death != given_.dies.end() && now_ >= death->second && !member.dead) {
+            member.dead = true;
+            state_changed_ = true;
         }
-        if (!serves(name, player)) return;
-        const double requests = given_.requests_per_s * static_cast<double>(kLook) / 1e6;
-        const bool fresh = player.runs.version == given_.plan.to;
-        all_ += requests, new_ += fresh ? requests : 0;
-        const auto bad = given_.fails.find(name);
-        std::binomial_distribution<std::uint64_t> fails(
-            static_cast<std::uint64_t>(requests), fresh && bad != given_.fails.end() ? bad->second : 0.0);
-        const std::uint64_t failed = fails(chance_);
-        player.tally.failed += failed;
-        player.tally.served += static_cast<std::uint64_t>(requests) - failed;
-        player.tally.latency_histogram[2] += static_cast<std::uint64_t>(requests) - failed;
-        player.tally.memory_kb = 1;
-        watch_.on_report({name, player.runs.version, player.runs.start, player.tally}, now_);
+        if (member.dead) return;
+        if (member.changed_at && now_ >= *member.changed_at) complete_change(name, member);
+        if (is_serving(name, member)) serve_requests(name, member);
     }
 
-    std::vector<FleetMember> world() const {
-        std::vector<FleetMember> all;
-        for (const auto& [name, player] : players_) {
-            all.push_back(player.seen);
-            all.back().unavailable = player.dead;
-            all.back().unavailable_reason = player.dead ? "dead" : "";
+    void complete_change(const std::string& name, SimulatedMember& member) {
+        member.changed_at.reset();
+        member.running = {member.running.start + 1, target_version_};
+        member.metrics = {};
+        state_.apply(LeaseReturn{.kind = MemberKind::proxy,
+                                 .member = name,
+                                 .requested_by = name,
+                                 .now = now_,
+                                 .running = member.running});
+        state_changed_ = true;
+    }
+
+    void serve_requests(const std::string& name, SimulatedMember& member) {
+        const double requests = given_.requests_per_s * static_cast<double>(kTick) / 1e6;
+        const bool is_new = runs_new_version(member);
+        requests_ += requests;
+        if (is_new) requests_to_new_version_ += requests;
+        const auto fault = given_.fails.find(name);
+        const double failure_share = is_new && fault != given_.fails.end() ? fault->second : 0.0;
+        const auto whole_requests = static_cast<std::uint64_t>(requests);
+        std::binomial_distribution<std::uint64_t> failures(whole_requests, failure_share);
+        const std::uint64_t failed = failures(random_);
+        const std::uint64_t served = whole_requests - failed;
+        member.metrics.failed += failed;
+        member.metrics.served += served;
+        member.metrics.latency_histogram[kSimulatedLatencyBucket] += served;
+        member.metrics.memory_kb = 1;
+        watch_.on_report({name, member.running.version, member.running.start, member.metrics}, now_);
+    }
+
+    std::vector<FleetMember> current_fleet() const {
+        std::vector<FleetMember> fleet;
+        for (const auto& [name, member] : members_) {
+            FleetMember& entry = fleet.emplace_back(member.member);
+            entry.unavailable = member.dead;
+            entry.unavailable_reason = member.dead ? "dead" : "";
         }
-        return all;
+        return fleet;
     }
 
-    // All whose turn it may be ask, in order, until the fleet as a whole allows no more.
-    void ask() {
-        changed_ = false, asked_ = now_;
+    int count_out() const {
+        return static_cast<int>(std::count_if(members_.begin(), members_.end(), [this](const auto& entry) {
+            return !is_serving(entry.first, entry.second);
+        }));
+    }
+
+    // All members that are due request their leases, in order, until the budget of the whole fleet is used
+    // up.
+    void request_leases() {
+        state_changed_ = false;
+        last_requests_ = now_;
         const Release* release = state_.releases().active();
         if (!release || !release->grants_leases()) return;
-        wanted_ = release->target_version();
-        LeaseRequest ask{.kind = MemberKind::proxy,
-                         .member = {},
-                         .requested_by = "rehearsal",
-                         .forced = false,
-                         .now = now_,
-                         .budget = given_.budget,
-                         .fleet = world(),
-                         .release = release->number,
-                         .running = {}};
-        const std::size_t upto = release->stage == ReleaseStage::rolling_back
-                                     ? given_.plan.members.size()
-                                     : given_.plan.members_through(release->wave);
-        int out = 0;
-        for (const auto& [name, player] : players_) out += serves(name, player) ? 0 : 1;
-        for (std::size_t i = 0; i < upto; ++i) {
-            Player& player = players_.at(given_.plan.members[i]);
-            if (player.dead || player.back_at > 0 || player.runs.version == wanted_) continue;
-            if (player.waits_since < 0) player.waits_since = now_;
+        target_version_ = release->target_version();
+        LeaseRequest request{.kind = MemberKind::proxy,
+                             .member = {},
+                             .requested_by = kRequester,
+                             .forced = false,
+                             .now = now_,
+                             .budget = given_.budget,
+                             .fleet = current_fleet(),
+                             .release = release->number,
+                             .running = {}};
+        const std::size_t due = release->stage == ReleaseStage::rolling_back
+                                    ? given_.plan.members.size()
+                                    : given_.plan.members_through(release->wave);
+        int out = count_out();
+        for (std::size_t i = 0; i < due; ++i) {
+            SimulatedMember& member = members_.at(given_.plan.members[i]);
+            if (member.dead || member.changed_at || member.running.version == target_version_) continue;
+            if (!member.waiting_since) member.waiting_since = now_;
             if (out >= given_.budget.max_unavailable) continue;
-            ask.member = given_.plan.members[i], ask.running = player.runs;
-            if (state_.apply(ask).outcome != Outcome::granted) continue;
+            request.member = given_.plan.members[i];
+            request.running = member.running;
+            if (state_.apply(request).outcome != Outcome::granted) continue;
             ++out;
-            player.back_at = now_ + given_.change;
-            watch_.on_lease(ask.member, player.runs.start);
-            const Micros waited = now_ - std::exchange(player.waits_since, -1);
-            if (waited > done_.longest_wait) done_.longest_wait = waited, done_.waited = ask.member;
+            on_lease_granted(request.member, member);
         }
     }
 
-    void look() {
+    void on_lease_granted(const std::string& name, SimulatedMember& member) {
+        member.changed_at = now_ + given_.change;
+        watch_.on_lease(name, member.running.start);
+        const Micros waited = now_ - *member.waiting_since;
+        member.waiting_since.reset();
+        if (waited <= result_.longest_wait) return;
+        result_.longest_wait = waited;
+        result_.waited = name;
+    }
+
+    void propose_step() {
         const Release* release = state_.releases().active();
         if (!release) return;
-        std::vector<MemberStatus> all;
-        for (const auto& [name, player] : players_) {
+        std::vector<MemberStatus> statuses;
+        for (const auto& [name, member] : members_) {
             const bool leased = state_.find(MemberKind::proxy, name) != nullptr;
-            all.push_back({name, player.runs.version, player.runs.start, !player.dead, player.dead, leased,
-                           !player.dead && !leased});
-        }
-        if (auto step = watch_.next_step(*release, all, now_)) {
-            step->now = now_;
-            changed_ = state_.apply(*step).outcome == Outcome::granted || changed_;
+            statuses.push_back({.name = name,
+                                .version = member.running.version,
+                                .start = member.running.start,
+                                .alive = !member.dead,
+                                .gone = member.dead,
+                                .leased = leased,
+                                .serving = !member.dead && !leased});
         }
+        std::optional<ReleaseStep> step = watch_.next_step(*release, statuses, now_);
+        if (!step) return;
+        step->now = now_;
+        if (state_.apply(*step).outcome == Outcome::granted) state_changed_ = true;
     }
 
-    void measure() {
-        std::map<std::string, std::pair<double, double>> schools;  // weight, weight out
-        std::size_t out = 0;
-        for (const auto& [name, player] : players_) {
-            auto& [weight, gone] = schools[player.seen.zone];
-            weight += player.seen.weight;
-            if (serves(name, player)) continue;
-            gone += player.seen.weight, ++out;
+    void measure_disruption() {
+        struct ZoneWeight {
+            double total = 0;
+            double out = 0;
+        };
+        std::map<std::string, ZoneWeight> zones;
+        for (const auto& [name, member] : members_) {
+            ZoneWeight& zone = zones[member.member.zone];
+            zone.total += member.member.weight;
+            if (!is_serving(name, member)) zone.out += member.member.weight;
         }
-        done_.most_out = std::max(done_.most_out, out);
-        for (const auto& [school, weights] : schools) {
-            const double share = weights.first > 0 ? weights.second / weights.first : 0;
-            if (share > done_.worst_share)
-                done_.worst_share = share, done_.worst_school = school, done_.worst_at = now_;
+        result_.most_out = std::max(result_.most_out, static_cast<std::size_t>(count_out()));
+        for (const auto& [zone, weight] : zones) {
+            const double share = weight.total > 0 ? weight.out / weight.total : 0;
+            if (share <= result_.worst_share) continue;
+            result_.worst_share = share;
+            result_.worst_school = zone;
+            result_.worst_at = now_;
         }
     }
 
     const SimulationPlan& given_;
-    std::mt19937_64 chance_;
+    std::mt19937_64 random_;
     State state_;
     ReleaseWatch watch_;
-    std::map<std::string, Player> players_;
-    std::string wanted_;
-    Micros now_ = 0, asked_ = 0;
-    bool changed_ = true;
-    double all_ = 0, new_ = 0;
-    SimulationResult done_;
+    std::map<std::string, SimulatedMember> members_;
+    std::string target_version_;
+    Micros now_ = 0;
+    Micros last_requests_ = 0;
+    bool state_changed_ = true;
+    double requests_ = 0;
+    double requests_to_new_version_ = 0;
+    SimulationResult result_;
 };
 
 }  // namespace
 
 SimulationResult simulate_release(const SimulationPlan& plan) {
-    return Play(plan).play();
+    return Simulation(plan).run();
 }
 
 }  // namespace sumackeel::rollout
