--- a/src/consensus/consensus_client.h
+++ b/src/consensus/consensus_client.h
@@ -1,144 +1,114 @@
-// The agreed log: a few of the proxies vote (the raft library, on this loop), the others ask them. What it
-// holds is the state of src/rollout, who may leave, and of src/registry, keys and purges. Off unless the
-// operator's file has [agreed].
+// A member's access to the replicated log: requests to its leader, and the state that it holds (of
+// src/rollout and src/kv_store). A few of the proxies vote (the raft library, on this loop), the others poll
+// them. Off unless the operator's file has [agreed].
 #pragma once
 
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
-#include <vector>
 
 #include "cluster_transport/cluster_transport.h"
 #include "config/operator.h"
-#include "consensus/raft_node.h"
+#include "consensus/consensus_messages.h"
+#include "consensus/consensus_server.h"
+#include "consensus/local_voter.h"
+#include "consensus/request_processor.h"
+#include "consensus/state_follower.h"
+#include "consensus/state_view.h"
 #include "kv_store/kv_store.h"
-#include "net/background_task.h"
+#include "net/loop.h"
 #include "rollout/rollout.h"
 
 namespace sumackeel::consensus {
 
-using cluster_transport::ClusterTransport;
-using cluster_transport::MessageCodec;
-
-struct ConsensusRequest;
-
 class ConsensusClient {
   public:
-    using FleetView =
-        std::function<std::vector<rollout::FleetMember>(rollout::MemberKind)>;  // as this member sees it now
+    using FleetView = consensus::FleetView;
     using StateCallback = std::function<void(const rollout::State&)>;
-    // None: no majority answered in time. It may have been agreed on all the same; asking again tells.
-    using ResultCallback = std::function<void(std::optional<rollout::CommandResult>)>;
+    // Called once, within a second, from the loop. None: no majority answered in time; the request may have
+    // been committed all the same, and repeating it is safe.
+    using ResultCallback = RaftNode::ResultCallback;
 
-    // Throws where the folder or the address can't be used. ClusterTransport must outlive this.
+    // Throws ConsensusError where the folder or the address can't be used. `transport` outlives this.
     // `wait_for_folder`: another process of this proxy may hold it until that one is told to end.
-    ConsensusClient(net::Loop& loop, ClusterTransport& peers, const config::Consensus& setup,
-                    bool wait_for_folder, FleetView world, StateCallback changed);
+    ConsensusClient(net::Loop& loop, ClusterTransport& transport, const config::Consensus& setup,
+                    bool wait_for_folder, FleetView fleet, StateCallback state_changed);
     ~ConsensusClient();
-    // The operator's file was read anew: rules hold from the next ask on; who votes is changed by the leader,
-    // one after another. The folder and the time of an election wait for the next start.
-    void update_config(const config::Consensus& setup);
     ConsensusClient(const ConsensusClient&) = delete;
     ConsensusClient& operator=(const ConsensusClient&) = delete;
+    // The operator's file was read anew: budgets hold from the next request on; the leader changes who votes,
+    // one after another. The folder and the election timeout wait for the next start.
+    void update_config(const config::Consensus& setup);
 
-    // Each is told within a second, from the loop.
     void request_lease(rollout::MemberKind kind, const std::string& member, const std::string& by,
-                       bool forced, ResultCallback told);
+                       bool forced, ResultCallback done);
     void return_lease(rollout::MemberKind kind, const std::string& member, const std::string& by,
-                      ResultCallback told);
-
-    // A turn of the release under way, for whoever changes `member`.
-    void request_upgrade_lease(const std::string& member, bool forced, ResultCallback told);
-    void submit_release_command(const rollout::ReleaseCommand& order, ResultCallback told);
-    // Of a leader alone.
-    void submit_release_step(rollout::ReleaseStep step, ResultCallback told);
-    // Of the registry; `granted` with the revision, or `refused` with why.
-    void submit_change(const kv_store::Transaction& change, ResultCallback told);
-    void submit_purge(const kv_store::Purge& purge, ResultCallback told);
-    // What a key holds now, by the leader and a majority: `granted` with its version as the number and its
-    // value as the reason, or `nothing`.
-    void read(const std::string& key, ResultCallback told);
-    // Makes this one the leader, if it votes: `granted` with the term, or `refused`.
-    void take_leadership(ResultCallback told);
-    const kv_store::State& kv_store() const;
-    // Told after each change of it.
-    void on_kv_store_change(std::function<void()> what) { registered_ = std::move(what); }
-    // Of a leader: what is applied here is applied by all voters in touch at once, not with the next
+                      ResultCallback done);
+    // Of the release under way, for whoever upgrades `member`.
+    void request_upgrade_lease(const std::string& member, bool forced, ResultCallback done);
+    void submit_release_command(const rollout::ReleaseCommand& command, ResultCallback done);
+    // Of a leader alone; none where this member does not lead.
+    void submit_release_step(rollout::ReleaseStep step, ResultCallback done);
+    // Of the key-value store; `granted` with the revision, or `rejected` with the reason.
+    void submit_change(const kv_store::Transaction& change, ResultCallback done);
+    void submit_purge(const kv_store::Purge& purge, ResultCallback done);
+    // A linearizable read: `granted` with its version as the number and its value as the reason, or `none`.
+    void read(const std::string& key, ResultCallback done);
+    // Makes this one the leader, if it votes: `granted` with the term, or `rejected`.
+    void take_leadership(ResultCallback done);
+
+    const kv_store::State& kv_store() const { return view_.kv_store(); }
+    // Called after each change of it.
+    void on_kv_store_change(std::function<void()> callback) { kv_store_changed_ = std::move(callback); }
+    // Of a leader: an entry applied here is applied by all voters in touch at once, not with the next
     // heartbeat.
     void replicate_now();
-    // Of one that does not vote: asks that member for what it has, now.
+    // Of a member that does not vote, or knows no leader: polls that voter now.
     void poll_now(const std::string& member);
-    // How long ago what is known here was surely all that is agreed on; none: never since the start.
-    std::optional<base::Micros> confirmed_age() const;
+    std::optional<base::Micros> confirmed_age() const { return view_.confirmed_age(); }
 
-    // What a leave of it would be answered now, by what this one knows; none: nobody knows it.
+    // The result that a request for a lease of `member` would have now, by what is known here; none: no such
+    // member is known.
     std::optional<rollout::CommandResult> explain(const std::string& member) const;
-    bool is_leader() const;
-
-    // What a proxy runs, by the freshest that is known here: its word in the group, or with its last turn.
-    rollout::RunningVersion running_version_of(const cluster::MemberRecord& word) const;
-
-    const rollout::State& state() const;
-    bool is_known() const;  // the state was heard from a voter, or is a voter's own that has met a leader
-    std::string leader() const;  // a member's name; empty: none is known
+    bool is_leader() const { return voter_.is_leader(); }
+    // What a proxy runs, by the latest that is known here.
+    rollout::RunningVersion running_version_of(const cluster::MemberRecord& record) const {
+        return view_.running_version_of(record);
+    }
+    const rollout::State& state() const { return view_.state(); }
+    bool is_known() const { return view_.is_known(); }
+    std::string leader() const { return view_.leader(); }  // a member's name; empty: none is known
     std::string as_json() const;
-    // Stops voting, and gives the folder back once the log is closed.
+    // Stops voting, and releases the folder once the log is closed.
     void close();
-    // The same at once; the loop is run until that is done. Nothing is told any more.
+    // The same at once; the loop is run until that is done. No callbacks from then on.
     void close_now();
-    bool is_disk_stuck() const;  // shut() would wait for it
+    bool is_disk_stuck() const { return voter_.is_disk_stuck(); }  // close_now() would wait for it
 
   private:
     struct PendingRequest;
+    using PendingPtr = std::shared_ptr<PendingRequest>;
 
-    std::unique_ptr<RaftNode> make_voter();
-    std::string command_of(const ConsensusRequest& wanted) const;
-    void propose(const ConsensusRequest& wanted, ResultCallback done);
-    void want(ConsensusRequest wanted, ResultCallback told);
-    rollout::LeaseRequest ask_of(const ConsensusRequest& wanted) const;
-    void pursue(std::shared_ptr<PendingRequest> wish);
-    void later(std::shared_ptr<PendingRequest> wish);
-    void settle(const std::shared_ptr<PendingRequest>& wish, std::optional<rollout::CommandResult> answer);
-    void take(const std::string& from, const std::string& verb, const std::string& body,
-              const ClusterTransport::Respond& say);
-    void poll();
-    void ask_state(const std::string& voter, base::Micros within);
-    void stop_voting();
-    void vote_later();
-    void tend();
-    void look_alone();
-    void keep_own();
-    void yield(std::uint64_t history);
-    void set_aside(std::uint64_t history);
-    void was_set_aside(const std::string& fault);
-    void take_folder();
-    bool votes() const;
-    bool there(const std::string& voter) const;
-    void hold(const std::string& answer);
+    void submit(ConsensusRequest request, ResultCallback done);
+    void attempt(const PendingPtr& pending);
+    void attempt_locally(const PendingPtr& pending);
+    void attempt_at(const std::string& voter, const PendingPtr& pending);
+    void on_reply(const PendingPtr& pending, const std::string& body);
+    void retry_later(const PendingPtr& pending);
+    std::string next_target();
+    const std::string& self() const { return transport_.membership().self().name; }
 
     net::Loop& loop_;
     ClusterTransport& transport_;
     config::Consensus setup_;
-    std::map<std::string, std::string> voters_ever_;  // by name: also those that the file named before
-    FleetView world_;
-    StateCallback changed_;
-    net::BackgroundTask files_;            // what is done in the folder while no log is open there
-    std::unique_ptr<RaftNode> raft_node_;  // null: this one does not vote
-    rollout::State heard_;                 // of one that does not vote
-    kv_store::State heard_registry_;
-    bool ask_all_ = false;  // what was told of the registry does not fit on what is here
-    std::uint64_t heard_history_ = 0;
-    std::optional<base::Micros> heard_at_;  // when a voter that knows a leader last answered
-    std::function<void()> registered_;
-    bool known_ = false;
-    std::string leader_;
-    base::Micros led_at_ = 0;  // of one that votes: when it last knew a leader
-    bool yielding_ = false;    // its log is of an older history, and is being set aside
-    bool joins_ = false;       // named as a voter while it ran: it writes no first entry of its own
-    std::size_t next_voter_ = 0;
-    std::optional<base::TimerQueue::Key> poll_, tend_;
+    StateCallback state_changed_;
+    std::function<void()> kv_store_changed_;
+    StateFollower follower_;
+    LocalVoter voter_;
+    StateView view_;
+    RequestProcessor processor_;
+    ConsensusServer server_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/consensus/consensus_messages.h
+++ b/src/consensus/consensus_messages.h
@@ -1,13 +1,10 @@
-// What goes between those that ask and the voters of the agreed log: MessagePack over the group's streams.
-// Each reader throws std::runtime_error on bytes that are none.
+// Messages between members and the voters of the replicated log: MessagePack over the cluster's streams.
+// Decoders throw std::runtime_error (base::msgpack's or ConsensusError) on malformed bytes.
 #pragma once
 
 #include <cstdint>
-#include <sstream>
-#include <stdexcept>
 #include <string>
 
-#include "base/msgpack.h"
 #include "cluster_transport/message_codec.h"
 #include "rollout/rollout.h"
 
@@ -15,7 +12,7 @@
 
 using cluster_transport::kMaxCallBytes;
 
-// What somebody wants of the leader.
+// What is requested of the leader; the numbers are those on the wire.
 enum class RequestKind : std::uint8_t {
     request_lease,
     return_lease,
@@ -27,70 +24,39 @@
 };
 constexpr std::size_t kMaxBodyBytes = 1 << 20;
 
-// Of a voter to one that asked: whether it could, who leads, and what came of it.
+// The verbs of the calls, as they are on the wire.
+constexpr const char* kRequestVerb = "wish";
+constexpr const char* kStateVerb = "state";
+
+// A voter's reply to a request, or to a question for its state.
 struct ConsensusReply {
-    bool done = false;
-    std::string leader, body;
+    bool done = false;                 // a request: a result is in `body`; a state: it is up to date
+    std::string leader, body;          // the leader's name, empty if unknown; an encoded result or state
     std::uint64_t history = 0;         // of the voter's log
-    std::string kv_store_update = {};  // of a state that was asked for: what is new there
+    std::string kv_store_update = {};  // of a state: what the key-value store has beyond the known revision
 };
+std::string encode(const ConsensusReply& reply);
+ConsensusReply decode_reply(const std::string& body);
 
-inline std::string encode(const ConsensusReply& said) {
-    base::MsgpackWriter out;
-    return out.array(5).add(said.done, said.leader, said.body, said.history, said.kv_store_update).bytes();
-}
-
-inline ConsensusReply decode_reply(const std::string& body) {
-    const base::MsgpackDocument whole = base::parse_msgpack(body, 16, kMaxCallBytes);
-    base::MsgpackReader at = whole.reader(3);
-    ConsensusReply said;
-    said.done = at.next<bool>(), said.leader = at.text(rollout::kMaxNameLength);
-    said.body = at.text(kMaxCallBytes);
-    if (at.remaining() < 2) return said;  // of the version before the registry
-    said.history = at.next<std::uint64_t>(), said.kv_store_update = at.text(kMaxCallBytes);
-    return said;
-}
-
-// Which state somebody has: "REVISION REGISTRY HISTORY"; the first alone of the version before the registry.
+// The revisions that a member has when it asks for the state. On the wire "REVISION KV_REVISION HISTORY"; the
+// version before the key-value store sends the first alone.
 struct KnownRevision {
     std::uint64_t revision = 0, kv_store = 0, history = 0;
 };
-inline KnownRevision decode_known_revision(const std::string& body) {
-    KnownRevision has;
-    std::istringstream in(body);
-    if (!(in >> has.revision)) throw std::runtime_error("no revision");
-    in >> has.kv_store >> has.history;
-    return has;
-}
+std::string encode(const KnownRevision& known);
+KnownRevision decode_known_revision(const std::string& body);
 
-// What somebody wants, with what only the asker knows.
+// A request, with what only its sender knows.
 struct ConsensusRequest {
     RequestKind kind = RequestKind::request_lease;
     bool forced = false;
     rollout::MemberKind member_kind = rollout::MemberKind::proxy;
-    std::string member, by;
-    std::string body;                      // an order, as the log holds it
-    rollout::RunningVersion running = {};  // of a proxy that asks for itself
+    std::string member = {}, by = {};      // for a read, `member` is the key
+    std::string body = {};                 // a command, as the log holds it
+    rollout::RunningVersion running = {};  // of a proxy that requests its own lease
 
-    std::string encode() const {
-        base::MsgpackWriter out;
-        return out.array(8)
-            .add(static_cast<int>(kind), forced, static_cast<int>(member_kind), member, by, body,
-                 running.start, running.version)
-            .bytes();
-    }
-    static ConsensusRequest decode(const std::string& bytes) {
-        const base::MsgpackDocument whole = base::parse_msgpack(bytes, 16, kMaxBodyBytes);
-        base::MsgpackReader at = whole.reader(8);
-        ConsensusRequest wanted;
-        wanted.kind = at.enumeration(RequestKind::take_leadership), wanted.forced = at.next<bool>();
-        wanted.member_kind = at.enumeration(rollout::MemberKind::pop_cache);
-        wanted.member = at.text(rollout::kMaxNameLength), wanted.by = at.text(rollout::kMaxNameLength);
-        wanted.body = at.text(kMaxBodyBytes);
-        wanted.running.start = at.next<std::uint64_t>();
-        wanted.running.version = at.text(rollout::kMaxNameLength);
-        return wanted;
-    }
+    std::string encode() const;
+    static ConsensusRequest decode(const std::string& bytes);
 };
 
 }  // namespace sumackeel::consensus
--- /dev/null
+++ b/src/consensus/consensus_server.cpp
@@ -0,0 +1,65 @@
+#include "consensus/consensus_server.h"
+
+#include <optional>
+
+#include "base/log.h"
+
+namespace sumackeel::consensus {
+
+ConsensusServer::ConsensusServer(ClusterTransport& transport, LocalVoter& voter, RequestProcessor& processor)
+    : transport_(transport), voter_(voter), processor_(processor) {
+    for (const char* verb : {kRequestVerb, kStateVerb})
+        transport_.on_call(verb,
+                           [this](const std::string& from, const std::string& called, const std::string& body,
+                                  const Respond& respond) { on_call(from, called, body, respond); });
+}
+
+ConsensusServer::~ConsensusServer() {
+    close();
+}
+
+void ConsensusServer::close() {
+    for (const char* verb : {kRequestVerb, kStateVerb}) transport_.remove_call_handler(verb);
+}
+
+std::string ConsensusServer::own_leader() const {
+    return voter_.votes() ? voter_.node().leader() : std::string{};
+}
+
+void ConsensusServer::on_call(const std::string& from, const std::string& verb, const std::string& body,
+                              const Respond& respond) {
+    const std::string leader = own_leader();
+    const auto reject = [&] { respond(encode(ConsensusReply{false, leader, {}})); };
+    if (!voter_.votes()) return reject();
+    try {
+        if (verb == kStateVerb) return respond(state_reply(decode_known_revision(body)));
+        if (verb != kRequestVerb || !voter_.is_leader()) return reject();
+        on_request(body, respond);
+    } catch (const std::exception& error) {
+        log::warn("consensus: call rejected member={} reason={}", from, error.what());
+        reject();
+    }
+}
+
+void ConsensusServer::on_request(const std::string& body, const Respond& respond) {
+    const std::string self = transport_.membership().self().name;
+    processor_.process(ConsensusRequest::decode(body),
+                       [respond, self](std::optional<rollout::CommandResult> result) {
+                           respond(encode(ConsensusReply{result.has_value(), result ? self : std::string{},
+                                                         result ? rollout::encode(*result) : std::string{}}));
+                       });
+}
+
+// Revisions of another history say nothing of what that member lacks: it gets the whole state.
+std::string ConsensusServer::state_reply(const KnownRevision& known) const {
+    const RaftNode& node = voter_.node();
+    const std::string leader = own_leader();
+    const std::uint64_t history = node.history();
+    const bool same_history = known.history == history;
+    const bool outdated = !same_history || known.revision != node.state().revision();
+    return encode(ConsensusReply{!leader.empty() && node.caught_up(), leader,
+                                 outdated ? node.state().encode() : std::string{}, history,
+                                 node.kv_store().update_since(same_history ? known.kv_store : 0)});
+}
+
+}  // namespace sumackeel::consensus
--- /dev/null
+++ b/src/consensus/local_voter.cpp
@@ -0,0 +1,237 @@
+#include "consensus/local_voter.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+#include "base/log.h"
+#include "base/run_with_timeout.h"
+#include "consensus/consensus_error.h"
+#include "consensus/raft_directory.h"
+
+namespace sumackeel::consensus {
+
+using base::Micros;
+
+namespace {
+
+constexpr Micros kTickInterval = 1'000'000;
+constexpr Micros kLeaderlessTimeout = 3'000'000;  // after this a voter polls the others
+constexpr Micros kReopenInterval = 200'000;       // while another process holds the directory
+constexpr std::chrono::seconds kDirectoryCheckTimeout{2};
+
+}  // namespace
+
+LocalVoter::LocalVoter(net::Loop& loop, ClusterTransport& transport, const config::Consensus& setup,
+                       StateFollower& follower, StateFollower::Hooks hooks)
+    : loop_(loop),
+      transport_(transport),
+      setup_(setup),
+      follower_(follower),
+      hooks_(std::move(hooks)),
+      known_voters_(setup.voters),
+      directory_task_(loop) {}
+
+LocalVoter::~LocalVoter() {
+    close_now();
+}
+
+// Two processes at one log would ruin it. The one before this one releases the directory when it is told to
+// end; until then this one polls the others. One that lost its log waits until the others have a leader.
+void LocalVoter::start(bool wait_for_folder) {
+    if (!setup_.voters.contains(self())) return;
+    node_ = make_node();
+    const bool lost_log = node_->has_lost_log();
+    if (lost_log)
+        log::error(
+            "consensus: log lost member={} folder={} reason=it voted before; waiting for a leader of "
+            "the others",
+            self(), setup_.folder);
+    const auto checked = base::run_with_timeout(
+        kDirectoryCheckTimeout, [folder = setup_.folder] { return check_log_directory(folder); });
+    if (!checked)
+        log::error("consensus: folder not answering folder={}; this proxy votes once it does", setup_.folder);
+    if (!checked || wait_for_folder || lost_log) {
+        open_later();
+    } else if (const std::string error = node_->open(log_start_); !error.empty()) {
+        node_->close_now();
+        throw ConsensusError(ConsensusErrorCode::log_not_opened, error);
+    }
+    follower_.raise_history(node_->history());
+    tick();
+}
+
+std::unique_ptr<RaftNode> LocalVoter::make_node() {
+    RaftNode::Hooks hooks{setup_, known_voters_, transport_.setup().folder, {}, {}, {}, {}, {}, {}};
+    hooks.reachable_address = [this](const std::string& address) {
+        return transport_.reachable_address(address);
+    };
+    hooks.is_alive = [this](const std::string& voter) { return is_alive(voter); };
+    // While a voter's log is behind the copy of a follower, the copy counts.
+    hooks.state_changed = [this] {
+        if (node_ && node_->state().revision() > follower_.state().revision())
+            hooks_.state_changed(node_->state());
+    };
+    hooks.kv_store_changed = [this] { hooks_.kv_store_changed(); };
+    hooks.newer_history_found = [this](std::uint64_t history) { on_newer_history(history); };
+    hooks.failed = [this] { on_log_failed(); };
+    return std::make_unique<RaftNode>(loop_, transport_.codec(), self(), std::move(hooks));
+}
+
+void LocalVoter::on_config_changed() {
+    known_voters_.insert(setup_.voters.begin(), setup_.voters.end());
+    if (!setup_.voters.contains(self()) || archiving_ || (node_ && !node_->stopped())) return;
+    if (node_ && node_->closing())
+        return log::warn("consensus: log still closing folder={}; reload the file once more", setup_.folder);
+    // Named as a voter while it runs, or its log failed. There is a log already: the leader sends it.
+    log_start_ = LogStart::join;
+    node_ = make_node();
+    if (!tick_timer_) tick();
+    open_later();
+}
+
+void LocalVoter::tick() {
+    node_->reconcile_voters();
+    expire_keys();
+    check_leader();
+    tick_timer_ = loop_.timers().schedule(loop_.clock().now() + kTickInterval, [this] { tick(); });
+}
+
+void LocalVoter::expire_keys() {
+    const auto due = node_->kv_store().next_expiry();
+    if (!due || !is_leader() || *due > loop_.clock().now()) return;
+    node_->propose(kv_store::encode(kv_store::ExpireKeys{loop_.clock().now()}), [](const auto&) {});
+}
+
+// A voter that has known no leader for a while was cut off, or removed: a log sends nothing to those that it
+// no longer names. It polls the others as one that does not vote. If the file names it no more, and another
+// reports a leader, it was removed and gives its log up.
+void LocalVoter::check_leader() {
+    const Micros now = loop_.clock().now();
+    if (!votes() || !node_->leader().empty()) {
+        leader_known_at_ = now;
+        if (votes()) follower_.stop_polling();
+        return;
+    }
+    if (leader_known_at_ == 0) leader_known_at_ = now;
+    if (now - leader_known_at_ < kLeaderlessTimeout) return;
+    if (!follower_.is_polling()) {
+        follower_.set_leader({});  // from now on the replies count
+        follower_.set_known(false);
+        follower_.start_polling();
+    }
+    const std::string& leader = follower_.leader();
+    if (leader.empty() || leader == self() || setup_.voters.contains(self())) return;
+    log::info("consensus: voting stopped member={} leader={} reason=removed from the voters", self(), leader);
+    node_->stop();
+    follower_.adopt(*node_);
+}
+
+// Another voter's log was forced to go on without this one: what this log holds is void. Called from within
+// the transport.
+void LocalVoter::on_newer_history(std::uint64_t history) {
+    if (std::exchange(archiving_, true)) return;
+    log::error(
+        "consensus: log outdated folder={} history={} reason=another voter has a later history; it is "
+        "archived",
+        setup_.folder, history);
+    const std::weak_ptr<bool> alive = alive_;
+    loop_.timers().schedule(loop_.clock().now(), [this, alive, history] {
+        if (alive.expired()) return;
+        node_->stop();
+        follower_.reset(history);
+        follower_.start_polling();
+        archive_log(history);
+    });
+}
+
+// Once the log is closed, its files go to a folder of their own, for whoever wants to look.
+void LocalVoter::archive_log(std::uint64_t history) {
+    if (node_->closing() || directory_task_.busy()) {
+        const std::weak_ptr<bool> alive = alive_;
+        loop_.timers().schedule(loop_.clock().now() + kReopenInterval, [this, alive, history] {
+            if (!alive.expired()) archive_log(history);
+        });
+        return;
+    }
+    const std::string archive = fmt::format("{}/aside-{}", setup_.folder, loop_.clock().now());
+    const auto error = std::make_shared<std::string>();
+    directory_task_.run(
+        [folder = setup_.folder, archive, history, error] {
+            *error = move_log_files(folder, archive);
+            if (error->empty()) *error = RaftDirectory::write_history(folder, history);
+        },
+        [this, error] { on_log_archived(*error); });
+}
+
+void LocalVoter::on_log_archived(const std::string& error) {
+    if (!error.empty())
+        return log::error("consensus: archiving failed folder={} reason={}; this proxy does not vote",
+                          setup_.folder, error);
+    log::warn("consensus: log archived folder={}", setup_.folder);
+    archiving_ = false;
+    log_start_ = LogStart::join;
+    node_ = make_node();
+    open_later();
+}
+
+void LocalVoter::on_log_failed() {
+    follower_.adopt(*node_);
+    follower_.set_known(true);
+    follower_.start_polling();
+}
+
+bool LocalVoter::is_alive(const std::string& voter) const {
+    if (voter == self()) return true;
+    const auto& members = transport_.membership().members();
+    return std::any_of(members.begin(), members.end(), [&](const cluster::MemberView& member) {
+        return member.record.name == voter && member.state == cluster::State::alive;
+    });
+}
+
+void LocalVoter::open_later() {
+    const std::weak_ptr<bool> alive = alive_;
+    loop_.timers().schedule(loop_.clock().now() + kReopenInterval, [this, alive] {
+        if (alive.expired()) return;
+        if (directory_task_.busy()) return open_later();
+        const auto error = std::make_shared<std::string>();
+        directory_task_.run([folder = setup_.folder, error] { *error = check_log_directory(folder); },
+                            [this, error] { error->empty() ? open_log() : open_later(); });
+    });
+}
+
+// The directory has just been read, and no other process holds it.
+void LocalVoter::open_log() {
+    const bool needs_leader = node_->has_lost_log() || log_start_ == LogStart::join;
+    if (needs_leader && (!follower_.is_known() || follower_.leader().empty())) return open_later();
+    if (const std::string error = node_->open(log_start_); !error.empty()) {
+        log::error("consensus: log not opened folder={} reason={}; this proxy does not vote", setup_.folder,
+                   error);
+        return node_->stop();
+    }
+    follower_.stop_polling();
+    follower_.set_known(false);
+    follower_.raise_history(node_->history());
+    log::info("consensus: voting started member={}", self());
+}
+
+void LocalVoter::close() {
+    if (node_) node_->close();
+}
+
+void LocalVoter::close_now() {
+    alive_.reset();
+    if (tick_timer_) {
+        loop_.timers().cancel(*tick_timer_);
+        tick_timer_.reset();
+    }
+    if (node_) node_->close_now();
+}
+
+bool LocalVoter::is_disk_stuck() const {
+    return directory_task_.is_stuck() || (node_ && node_->is_disk_stuck());
+}
+
+}  // namespace sumackeel::consensus
--- /dev/null
+++ b/src/consensus/local_voter.h
@@ -0,0 +1,76 @@
+// This member's own Raft node: when it opens its log, when it stops voting, and what becomes of a log that
+// is void. While it does not vote, or knows no leader, the StateFollower polls the others.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "cluster_transport/cluster_transport.h"
+#include "config/operator.h"
+#include "consensus/raft_node.h"
+#include "consensus/state_follower.h"
+#include "net/background_task.h"
+#include "net/loop.h"
+
+namespace sumackeel::consensus {
+
+class LocalVoter {
+  public:
+    // `setup`, as it stands now, and the others outlive this.
+    LocalVoter(net::Loop& loop, ClusterTransport& transport, const config::Consensus& setup,
+               StateFollower& follower, StateFollower::Hooks hooks);
+    ~LocalVoter();
+    LocalVoter(const LocalVoter&) = delete;
+    LocalVoter& operator=(const LocalVoter&) = delete;
+
+    // Opens the log if the operator's file names this member as a voter. Throws ConsensusError where the
+    // directory or the address can't be used. `wait_for_folder`: another process of this proxy may hold it.
+    void start(bool wait_for_folder);
+    // The operator's file was read anew; `setup` has changed.
+    void on_config_changed();
+
+    bool votes() const { return node_ && node_->is_voter(); }
+    bool is_leader() const { return node_ && node_->is_leader(); }
+    // Only while it votes.
+    RaftNode& node() { return *node_; }
+    const RaftNode& node() const { return *node_; }
+
+    // Stops voting, and releases the directory once the log is closed.
+    void close();
+    // The same at once; the loop is run until that is done. No callbacks from then on.
+    void close_now();
+    bool is_disk_stuck() const;  // close_now() would wait for it
+
+  private:
+    std::unique_ptr<RaftNode> make_node();
+    void tick();
+    void expire_keys();
+    void check_leader();
+    void on_newer_history(std::uint64_t history);
+    void archive_log(std::uint64_t history);
+    void on_log_archived(const std::string& error);
+    void on_log_failed();
+    void open_later();
+    void open_log();
+    bool is_alive(const std::string& voter) const;
+    const std::string& self() const { return transport_.membership().self().name; }
+
+    net::Loop& loop_;
+    ClusterTransport& transport_;
+    const config::Consensus& setup_;
+    StateFollower& follower_;
+    StateFollower::Hooks hooks_;
+    std::map<std::string, std::string> known_voters_;  // by name: also those that the file named before
+    net::BackgroundTask directory_task_;               // only while no log is open there
+    std::unique_ptr<RaftNode> node_;                   // null: this one has not been named as a voter
+    LogStart log_start_ = LogStart::bootstrap;         // join: it was named as a voter while it ran
+    bool archiving_ = false;                           // its log is of an older history
+    base::Micros leader_known_at_ = 0;                 // 0: not yet
+    std::optional<base::TimerQueue::Key> tick_timer_;
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace sumackeel::consensus
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -1,527 +1,348 @@
 #include "consensus/raft_node.h"
 
+#include <fmt/format.h>
+
 #include <algorithm>
-#include <charconv>
-#include <cstring>
-#include <filesystem>
-#include <stdexcept>
+#include <utility>
 
 #include "base/files.h"
 #include "base/log.h"
-#include "base/msgpack.h"
+#include "consensus/raft_directory.h"
 #include "consensus/raft_disk.h"
+#include "consensus/raft_state_machine.h"
 #include "consensus/raft_transport.h"
+#include "consensus/voter_reconciler.h"
 
 namespace sumackeel::consensus {
 
-using base::Micros;
 using rollout::CommandResult;
 
 namespace {
 
-constexpr unsigned kSnapshotAfter = 512, kTrailing = 128;  // entries; each is some KB at most
-constexpr std::size_t kSegment = 1 << 20;
-constexpr std::size_t kLongestFile = 256 << 20;  // a snapshot
-// Danger: a voter that is taking a snapshot of its own turns one that comes away without a word, and the
-// leader sends it nothing more until this is over. The library's 30 s leave that voter behind for as long.
-constexpr unsigned kInstallWithinMs = 3'000;
-
-constexpr const char* kVoted = "voted";  // in the folder of the peers: this one has had a log
-constexpr const char* kForce = "force";  // in the log's folder: go on alone, as an operator wants it
-// In the log's folder: "sumackeel-history 1 N". Logs that began by themselves are of history 0; each forced
-// start begins a later one.
-constexpr const char* kHistory = "history";
-constexpr const char* kHistoryForm = "sumackeel-history 1 ";
-
-// A snapshot: both states behind a mark. Without the mark: of the version before the registry, one state
-// alone.
-constexpr const char* kSnapshotMark = "sumackeel-agreed";
-std::string pack_states(const rollout::State& state, const kv_store::State& registry) {
-    base::MsgpackWriter out;
-    return out.array(3).add(std::string(kSnapshotMark), state.encode(), registry.encode()).bytes();
-}
-void unpack_states(std::string_view bytes, rollout::State& state, kv_store::State& registry) {
-    constexpr std::size_t kMostBytes = 256 << 20;
-    const base::MsgpackDocument whole = base::parse_msgpack(bytes, kMostBytes, kMostBytes);
-    base::MsgpackReader at = whole.reader(3);
-    try {
-        if (at.text(64) != kSnapshotMark) base::MsgpackReader::fail();
-    } catch (const std::runtime_error&) {
-        state = rollout::State::decode(bytes), registry = {};
-        return;
-    }
-    const auto first = at.next<std::string>(), second = at.next<std::string>();
-    rollout::State one = rollout::State::decode(first);
-    registry = kv_store::State::decode(second);
-    state = std::move(one);
-}
+constexpr unsigned kSnapshotThresholdEntries = 512, kSnapshotTrailingEntries = 128;  // some KB each at most
+constexpr std::size_t kSegmentBytes = 1 << 20;
+constexpr unsigned kConnectRetryMs = 200;
+constexpr unsigned kMinHeartbeatMs = 20, kHeartbeatsPerElectionTimeout = 5;
+// A voter that is taking a snapshot of its own ignores one that is sent to it, and until this has passed the
+// leader sends it nothing more. With the library's 30 s that voter would lag for as long.
+constexpr unsigned kInstallSnapshotTimeoutMs = 3'000;
+
+struct ApplyRequest {
+    struct raft_apply request {};
+    RaftNode::ResultCallback done;
+};
 
-// Danger: the library reads entries that come together at steps of eight bytes, and sends them without; a
-// length between would have it read past the end. What is added is behind the MessagePack and never looked
-// at.
-raft_buffer buffer_of(const std::string& bytes) {
-    const std::size_t padded = (bytes.size() + 7) / 8 * 8;
-    raft_buffer buffer{raft_calloc(1, padded), padded};
-    if (buffer.base) std::memcpy(buffer.base, bytes.data(), bytes.size());
-    return buffer;
-}
+struct ReadRequest {
+    struct raft_barrier request {};
+    const RaftStateMachine& machine;
+    std::string key;
+    RaftNode::ResultCallback done;
+};
 
 }  // namespace
 
-struct RaftNode::Log {
+struct RaftNode::Impl {
     net::Loop& loop;
     const Hooks hooks;
     const std::string self, address;
+    const RaftDirectory directory;
     RaftTransport transport;
     RaftDisk disk;
-    // What the library says of its own steps, at the debug level.
     raft_tracer tracer{nullptr, log::is_enabled(log::Level::debug),
                        [](raft_tracer*, const char* file, int line, const char* message) {
-                           log::debug("raft: {}:{} {}", file, line, message);
+                           log::debug("raft: trace at={}:{} message={}", file, line, message);
                        }};
-    raft_fsm fsm{};
-    raft raft_{};
-    rollout::State state;
-    kv_store::State registry;
-    CommandResult last;  // of the command applied just now, for who proposed it
-    bool started = false, failed = false, closed = false, up = false;
-    bool changing = false;  // who votes, under way
-    raft_change change{};
-    struct raft_transfer transfer {};
-    std::function<void()> handed;  // told when that is over
+    RaftStateMachine machine;
+    raft raft_instance{};
+    VoterReconciler reconciler;
+    bool started = false;
+    bool failed = false;
+    bool closed = false;
+    bool library_open = false;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    std::optional<raft_index> met_at;  // the log's end when a leader was first known
-
-    void give_up(int status) {
-        if (std::exchange(failed, true)) return;
-        log::error(
-            "agreed: the log in {} can't be written ({}); this proxy votes no more until it is started anew "
-            "or its files are read anew",
-            hooks.setup.folder, raft_strerror(status));
-        const std::weak_ptr<bool> alive = this->alive;
-        loop.timers().schedule(loop.clock().now(), [this, alive] {
-            if (alive.expired()) return;
-            close();
-            hooks.failed();
-        });
-    }
-
-    struct Applying {
-        struct raft_apply request {};
-        ResultCallback done;
-    };
+    std::optional<raft_index> last_index_at_first_leader;
 
-    Log(net::Loop& l, const MessageCodec& codec, std::string name, Hooks h)
-        : loop(l),
-          hooks(std::move(h)),
-          self(std::move(name)),
+    Impl(net::Loop& on_loop, const MessageCodec& codec, const std::string& name, Hooks given)
+        : loop(on_loop),
+          hooks(std::move(given)),
+          self(name),
           address(hooks.setup.voters.at(self)),
-          transport(l, codec, address, hooks.reach, hooks.older),
-          disk(l, [this](int status) { give_up(status); }) {}
-
-    // Of the log in the folder; throws std::runtime_error where the file can't be read.
-    static std::uint64_t history_in(const std::string& folder) {
-        std::string text, fault;
-        const auto how = base::read_regular_file(folder + '/' + kHistory, 64, text, fault);
-        if (how == base::ReadStatus::missing) return 0;
-        const std::string_view form(kHistoryForm);
-        std::uint64_t history = 0;
-        const char *begin = text.data() + form.size(), *end = text.data() + text.size() - 1;
-        if (how != base::ReadStatus::ok || !text.starts_with(form) || !text.ends_with('\n') ||
-            std::from_chars(begin, end, history).ptr != end)
-            throw std::runtime_error(fmt::format("agreed: {}/{} can't be read: {}", folder, kHistory,
-                                                 fault.empty() ? text : fault));
-        return history;
-    }
-    static std::string put_history(const std::string& folder, std::uint64_t history) {
-        return base::replace_file(folder, std::string(kHistory) + ".new", kHistory,
-                                  fmt::format("{}{}\n", kHistoryForm, history));
-    }
+          directory(hooks.setup.folder, hooks.marker_directory),
+          transport(loop, codec, address, hooks.reachable_address, hooks.newer_history_found),
+          disk(loop, [this](int status) { on_disk_failed(status); }),
+          machine({hooks.state_changed, hooks.kv_store_changed}),
+          reconciler(raft_instance, {self, hooks.setup, hooks.known_voters, hooks.is_alive}) {}
+    ~Impl() { close_now(); }
+    Impl(const Impl&) = delete;
+    Impl& operator=(const Impl&) = delete;
+
+    std::string open(LogStart start);
+    std::string init_library();
+    std::string write_first_entry();
+    std::string write_forced_history();
+    void on_disk_failed(int status);
+    std::string error_text(int result, const char* subject);
+    void close();
+    void close_now();
 
-    // Whether this voter has a log, and whether it ever had one: what it voted for is in it.
-    bool has_log() const {
-        std::error_code ignored;
-        return std::filesystem::exists(hooks.setup.folder + "/metadata1", ignored) ||
-               std::filesystem::exists(hooks.setup.folder + "/metadata2", ignored);
-    }
-    bool lost_log() const {
-        std::error_code ignored;
-        return !has_log() && std::filesystem::exists(hooks.marks + '/' + kVoted, ignored);
-    }
+    bool votes() const { return started && !failed && !closed; }
+    bool leads() { return votes() && raft_state(&raft_instance) == RAFT_LEADER; }
+    std::string leader();
+    bool caught_up();
 
-    // Takes the folder and starts. Empty: done; else what went wrong, and this is to be closed.
-    std::string open(bool joins) {
-        const std::string& folder = hooks.setup.folder;
-        const bool lost = lost_log();
-        auto lock = std::make_unique<base::DirectoryLock>(folder);
-        if (!lock->error().empty()) return lock->error();
-        if (const int made = disk.open(folder, transport.raw(), std::move(lock)); made != 0)
-            return fault_of(made, "the folder");
-        raft_uv_set_tracer(disk.io(), &tracer);
-        raft_uv_set_segment_size(disk.io(), kSegment);
-        raft_uv_set_connect_retry_delay(disk.io(), 200);
-        fsm.version = 1;
-        fsm.data = this;
-        fsm.apply = [](raft_fsm* f, const raft_buffer* buf, void** result) {
-            return static_cast<Log*>(f->data)->apply({static_cast<const char*>(buf->base), buf->len}, result);
-        };
-        fsm.snapshot = [](raft_fsm* f, raft_buffer* bufs[], unsigned* count) {
-            *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-            if (!*bufs) return RAFT_NOMEM;
-            (*bufs)[0] = buffer_of(static_cast<Log*>(f->data)->packed_states());
-            *count = 1;
-            return (*bufs)[0].base ? 0 : RAFT_NOMEM;
-        };
-        fsm.restore = [](raft_fsm* f, raft_buffer* buf) {
-            auto* self = static_cast<Log*>(f->data);
-            try {
-                unpack_states({static_cast<const char*>(buf->base), buf->len}, self->state, self->registry);
-            } catch (const std::exception& wrong) {
-                log::error("agreed: a snapshot can't be read: {}", wrong.what());
-                return RAFT_MALFORMED;
-            }
-            raft_free(buf->base);
-            self->hooks.leaves();
-            self->hooks.registered();
-            return 0;
-        };
-        if (const int made = raft_init(&raft_, disk.io(), &fsm, id_of(self), address.c_str()); made != 0)
-            return fault_of(made, "the log");
-        raft_.data = this;
-        raft_.tracer = &tracer;
-        up = true;
-        raft_set_pre_vote(&raft_, true);
-        raft_set_election_timeout(&raft_, hooks.setup.election_ms);
-        raft_set_heartbeat_timeout(&raft_, std::max(20U, hooks.setup.election_ms / 5));
-        raft_set_install_snapshot_timeout(&raft_, kInstallWithinMs);
-        raft_set_snapshot_threshold(&raft_, kSnapshotAfter);
-        raft_set_snapshot_trailing(&raft_, kTrailing);
-        if (!lost && !joins)
-            if (std::string wrong = first_entry(); !wrong.empty()) return wrong;
-        try {
-            transport.set_history(history_in(folder));
-        } catch (const std::exception& wrong) {
-            return wrong.what();
-        }
-        if (const int ran = raft_start(&raft_); ran != 0) return fault_of(ran, "the start");
-        started = true;
-        return base::replace_file(hooks.marks, std::string(kVoted) + ".new", kVoted, "sumackeel-voted 1\n");
-    }
+    void propose(const std::string& command, ResultCallback done);
+    void read(const std::string& key, ResultCallback done);
+    void transfer_leadership(const std::string& to, ResultCallback done);
+};
 
-    // Who votes, as the first entry of a new log; or where an operator forced it, this one alone. Danger: one
-    // that has lost its log writes none. It has forgotten its vote, and two such could make a majority of
-    // their own beside the one that is there; without an entry it waits to be filled.
-    std::string first_entry() {
-        const std::string force = hooks.setup.folder + '/' + kForce;
-        std::error_code ignored;
-        const bool forced = has_log() && std::filesystem::exists(force, ignored);
-        raft_configuration voters;
-        raft_configuration_init(&voters);
-        for (const auto& [voter, address] : hooks.setup.voters)
-            if (!forced || voter == self)
-                raft_configuration_add(&voters, id_of(voter), address.c_str(), RAFT_VOTER);
-        const int made = forced ? raft_recover(&raft_, &voters) : raft_bootstrap(&raft_, &voters);
-        raft_configuration_close(&voters);
-        if (made != 0 && (forced || made != RAFT_CANTBOOTSTRAP)) return fault_of(made, "who votes");
-        if (!forced) return {};
-        // Before the mark is taken off: what the log went on without is never spoken with again.
-        const auto now = static_cast<std::uint64_t>(loop.clock().unix_now().micros);
-        if (std::string wrong =
-                put_history(hooks.setup.folder, std::max(history_in(hooks.setup.folder) + 1, now));
-            !wrong.empty())
-            return wrong;
-        const std::string record = fmt::format("{}/{}d-{}", hooks.setup.folder, kForce, loop.clock().now());
-        std::filesystem::rename(force, record, ignored);
-        log::error("agreed: forced by an operator to go on alone; what only others had is lost; kept in {}",
-                   record);
-        return {};
+// --- The log: opening and closing ---
+
+std::string RaftNode::Impl::open(LogStart start) {
+    const bool lost = directory.has_lost_log();
+    auto lock = std::make_unique<base::DirectoryLock>(directory.path());
+    if (!lock->error().empty()) return lock->error();
+    if (const int result = disk.open(directory.path(), transport.raw(), std::move(lock)); result != 0)
+        return error_text(result, "the folder");
+    if (std::string error = init_library(); !error.empty()) return error;
+    // A voter that has lost its log has forgotten its votes. Two such could make a majority of their own
+    // beside the one that is there; without a first entry it waits until the leader sends it the log.
+    if (!lost && start == LogStart::bootstrap)
+        if (std::string error = write_first_entry(); !error.empty()) return error;
+    try {
+        transport.set_history(directory.read_history());
+    } catch (const std::exception& error) {
+        return error.what();
     }
+    if (const int result = raft_start(&raft_instance); result != 0) return error_text(result, "the start");
+    started = true;
+    return directory.mark_log_started();
+}
 
-    static constexpr const char* kChange = "agreed: a change of those who vote";
+std::string RaftNode::Impl::init_library() {
+    raft_uv_set_tracer(disk.io(), &tracer);
+    raft_uv_set_segment_size(disk.io(), kSegmentBytes);
+    raft_uv_set_connect_retry_delay(disk.io(), kConnectRetryMs);
+    if (const int result =
+            raft_init(&raft_instance, disk.io(), machine.fsm(), raft_id_of(self), address.c_str());
+        result != 0)
+        return error_text(result, "the log");
+    raft_instance.data = this;
+    raft_instance.tracer = &tracer;
+    library_open = true;
+    const unsigned election_ms = hooks.setup.election_ms;
+    raft_set_pre_vote(&raft_instance, true);
+    raft_set_election_timeout(&raft_instance, election_ms);
+    raft_set_heartbeat_timeout(&raft_instance,
+                               std::max(kMinHeartbeatMs, election_ms / kHeartbeatsPerElectionTimeout));
+    raft_set_install_snapshot_timeout(&raft_instance, kInstallSnapshotTimeoutMs);
+    raft_set_snapshot_threshold(&raft_instance, kSnapshotThresholdEntries);
+    raft_set_snapshot_trailing(&raft_instance, kSnapshotTrailingEntries);
+    return {};
+}
 
-    // `what` begins a change; only one is under way at a time.
-    template <typename What>
-    void begin_change(const std::string& words, What what) {
-        change.data = this;
-        const int asked = what(&change, [](raft_change* of, int status) {
-            static_cast<Log*>(of->data)->changing = false;
-            log::info("{}: {}", kChange, status == 0 ? "done" : raft_strerror(status));
-        });
-        changing = asked == 0;
-        if (changing) log::info("agreed: {}", words);
-    }
+// The voters, as the first entry of a new log; or where an operator forced the start, this one alone.
+std::string RaftNode::Impl::write_first_entry() {
+    const bool forced = directory.is_start_forced();
+    raft_configuration configuration;
+    raft_configuration_init(&configuration);
+    for (const auto& [voter, voter_address] : hooks.setup.voters)
+        if (!forced || voter == self)
+            raft_configuration_add(&configuration, raft_id_of(voter), voter_address.c_str(), RAFT_VOTER);
+    const int result = forced ? raft_recover(&raft_instance, &configuration)
+                              : raft_bootstrap(&raft_instance, &configuration);
+    raft_configuration_close(&configuration);
+    const bool has_entries = !forced && result == RAFT_CANTBOOTSTRAP;
+    if (result != 0 && !has_entries) return error_text(result, "who votes");
+    return forced ? write_forced_history() : std::string{};
+}
 
-    // `to`: 0 for whoever is the furthest.
-    void hand_over(raft_id to, std::function<void()> done) {
-        transfer.data = this;
-        handed = std::move(done);
-        changing = raft_transfer(&raft_, &transfer, to, [](struct raft_transfer* of) {
-                       auto* self = static_cast<Log*>(of->data);
-                       self->changing = false;
-                       if (const auto told = std::exchange(self->handed, nullptr)) told();
-                   }) == 0;
-        if (changing) return log::info("agreed: {} hands over", self);
-        if (const auto told = std::exchange(handed, nullptr)) told();
-    }
+// The later history is on disk before the marker is gone: the voters that were left behind are never spoken
+// with again.
+std::string RaftNode::Impl::write_forced_history() {
+    const auto now = static_cast<std::uint64_t>(loop.clock().unix_now().micros);
+    const std::uint64_t history = std::max(directory.read_history() + 1, now);
+    if (std::string error = RaftDirectory::write_history(directory.path(), history); !error.empty())
+        return error;
+    const std::string archived = directory.archive_force_marker(loop.clock().now());
+    log::error(
+        "consensus: start forced by operator history={} marker={} reason=entries that only other "
+        "voters had are lost",
+        history, archived);
+    return {};
+}
 
-    // The log's voters made those of the operator's file, one at a time. Those to come first: one goes only
-    // once all that replace it vote. Danger: a voter taken out while others are dead could leave too few to
-    // agree on anything, the change itself included; so a majority of those that stay must be there.
-    void tend() {
-        if (!leads() || changing) return;
-        const auto* servers = raft_.configuration.servers;
-        const unsigned count = raft_.configuration.n;
-        for (const auto& voter : hooks.setup.voters) {
-            const std::string &name = voter.first, &address_of_it = voter.second;
-            const auto* found = std::find_if(servers, servers + count,
-                                             [&](const raft_server& one) { return one.id == id_of(name); });
-            if (found != servers + count && found->role == RAFT_VOTER) continue;
-            return begin_change(
-                fmt::format("{} is to {}", name, found != servers + count ? "vote" : "be filled"),
-                [&](raft_change* of, raft_change_cb done) {
-                    return found != servers + count
-                               ? raft_assign(&raft_, of, id_of(name), RAFT_VOTER, done)
-                               : raft_add(&raft_, of, id_of(name), address_of_it.c_str(), done);
-                });
-        }
-        for (const raft_server* one = servers; one != servers + count; ++one) {
-            const std::string name = name_of(one->id);
-            const auto wanted = hooks.setup.voters.find(name);
-            if (wanted != hooks.setup.voters.end() && wanted->second == one->address) continue;
-            unsigned stay = 0, there = 0;
-            for (const raft_server* other = servers; other != servers + count; ++other) {
-                if (other == one || other->role != RAFT_VOTER) continue;
-                ++stay;
-                there += hooks.there(name_of(other->id)) ? 1 : 0;
-            }
-            if (2 * there <= stay) continue;
-            // A leader hands over first: the next one takes it out, and no grant waits for an election.
-            if (one->id == raft_.id) return hand_over(0, nullptr);
-            return begin_change(
-                fmt::format("{} at {} votes no more", name.empty() ? "one that is not named" : name,
-                            one->address),
-                [&](raft_change* of, raft_change_cb done) { return raft_remove(&raft_, of, one->id, done); });
-        }
-    }
+void RaftNode::Impl::on_disk_failed(int status) {
+    if (std::exchange(failed, true)) return;
+    log::error("consensus: log write failed folder={} reason={}; not voting until restart or reload",
+               directory.path(), raft_strerror(status));
+    const std::weak_ptr<bool> still_alive = alive;
+    loop.timers().schedule(loop.clock().now(), [this, still_alive] {
+        if (still_alive.expired()) return;
+        close();
+        hooks.failed();
+    });
+}
 
-    std::string fault_of(int result, const char* what) {
-        return fmt::format("agreed: {} in {}: {} ({})", what, hooks.setup.folder, raft_strerror(result),
-                           up ? raft_errmsg(&raft_) : disk.io()->errmsg);
-    }
+std::string RaftNode::Impl::error_text(int result, const char* subject) {
+    return fmt::format("agreed: {} in {}: {} ({})", subject, directory.path(), raft_strerror(result),
+                       library_open ? raft_errmsg(&raft_instance) : disk.io()->errmsg);
+}
 
-    // Begins to close; what the library still has to end, it ends on the loop.
-    void close() {
-        if (!up || std::exchange(closed, true)) return;
-        raft_close(&raft_, [](raft* r) {
-            auto* self = static_cast<Log*>(r->data);
-            self->up = false;
-            self->disk.release();  // whoever waits for the folder may have it now
-        });
-        disk.close();
-    }
-    // Not from within a call of the loop.
-    void shut() {
-        alive.reset();
-        close();
-        while (up) uv_run(loop.raw(), UV_RUN_ONCE);
-        closed = true;
-        disk.release();
-    }
-    ~Log() { shut(); }
+void RaftNode::Impl::close() {
+    if (!library_open || std::exchange(closed, true)) return;
+    raft_close(&raft_instance, [](raft* closed_raft) {
+        auto* impl = static_cast<Impl*>(closed_raft->data);
+        impl->library_open = false;
+        impl->disk.release();  // another process may be waiting for the directory
+    });
+    disk.close();
+}
 
-    std::string packed_states() const { return pack_states(state, registry); }
+void RaftNode::Impl::close_now() {
+    alive.reset();
+    close();
+    while (library_open) uv_run(loop.raw(), UV_RUN_ONCE);
+    closed = true;
+    disk.release();
+}
 
-    static raft_id id_of(const std::string& name) {
-        return std::max<raft_id>(1, raft_digest(name.c_str(), 0));
-    }
+// --- Leadership ---
 
-    int apply(std::string_view command, void** result) {
-        const std::uint64_t before = state.revision(), registered = registry.revision();
-        *result = nullptr;
-        try {
-            if (kv_store::is_command(command)) {
-                kv_store::ApplyResult answer = kv_store::apply(registry, command);
-                last = CommandResult{answer.applied ? rollout::Outcome::granted : rollout::Outcome::rejected,
-                                     answer.revision,
-                                     std::move(answer.reason),
-                                     {}};
-                *result = &last;
-                if (registry.revision() != registered) hooks.registered();
-                return 0;
-            }
-            last = rollout::apply(state, command);
-            *result = &last;
-        } catch (const std::exception& wrong) {
-            // The same on each member: it changes nothing anywhere.
-            log::error("agreed: {}", wrong.what());
-        }
-        if (state.revision() != before) hooks.leaves();
-        return 0;
-    }
+std::string RaftNode::Impl::leader() {
+    raft_id id = 0;
+    const char* leader_address = nullptr;
+    if (votes()) raft_leader(&raft_instance, &id, &leader_address);
+    return id == 0 ? std::string{} : reconciler.name_of(id);
+}
 
-    // Who votes, as this one knows it; an empty name: one that no file here has named.
-    std::vector<std::string> voters() const {
-        std::vector<std::string> names;
-        for (unsigned i = 0; i < raft_.configuration.n; ++i)
-            if (raft_.configuration.servers[i].role == RAFT_VOTER)
-                names.push_back(name_of(raft_.configuration.servers[i].id));
-        std::sort(names.begin(), names.end());
-        return names;
-    }
-    std::string name_of(raft_id id) const {
-        for (const auto& [name, at] : hooks.ever)
-            if (id_of(name) == id) return name;
-        return {};
-    }
-    bool votes() const { return started && !failed && !closed; }
-    // What was in the log when a leader was met is applied: a start that has only met one has an empty state
-    // yet.
-    bool caught_up() {
-        if (!met_at && !leader().empty()) met_at = raft_last_index(&raft_);
-        return met_at && raft_last_applied(&raft_) >= std::min(*met_at, raft_last_index(&raft_));
-    }
-    bool leads() { return votes() && raft_state(&raft_) == RAFT_LEADER; }
+// A start that has only met a leader has an empty state yet.
+bool RaftNode::Impl::caught_up() {
+    if (!last_index_at_first_leader && !leader().empty())
+        last_index_at_first_leader = raft_last_index(&raft_instance);
+    return last_index_at_first_leader &&
+           raft_last_applied(&raft_instance) >=
+               std::min(*last_index_at_first_leader, raft_last_index(&raft_instance));
+}
 
-    std::string leader() {
-        raft_id id = 0;
-        const char* address = nullptr;
-        if (votes()) raft_leader(&raft_, &id, &address);
-        return id == 0 ? std::string{} : name_of(id);
-    }
+void RaftNode::Impl::transfer_leadership(const std::string& to, ResultCallback done) {
+    if (to == self)
+        return done(
+            CommandResult{rollout::Outcome::granted, raft_instance.current_term, "leads already", {}});
+    const auto names = reconciler.voters();
+    if (std::find(names.begin(), names.end(), to) == names.end())
+        return done(CommandResult{rollout::Outcome::rejected, 0, to + " does not vote", {}});
+    if (reconciler.busy()) return done(std::nullopt);
+    reconciler.transfer_leadership(raft_id_of(to), [this, to, done = std::move(done)] {
+        if (leader() != to) return done(std::nullopt);  // not elected yet: the caller retries
+        done(CommandResult{rollout::Outcome::granted, raft_instance.current_term, {}, {}});
+    });
+}
 
-    struct Reading {
-        struct raft_barrier request {};
-        Log& voter;
-        std::string key;
-        ResultCallback done;
-    };
-    // Behind all that was agreed on before it was asked for.
-    void read(const std::string& key, ResultCallback done) {
-        auto* reading = new Reading{{}, *this, key, std::move(done)};
-        reading->request.data = reading;
-        const int failed =
-            raft_barrier(&raft_, &reading->request, [](struct raft_barrier* request, int status) {
-                const std::unique_ptr<Reading> whole(static_cast<Reading*>(request->data));
-                if (status != 0) return whole->done(std::nullopt);
-                const kv_store::Entry* found = whole->voter.registry.find(whole->key);
-                whole->done(found ? CommandResult{rollout::Outcome::granted, found->version, found->value, {}}
-                                  : CommandResult{rollout::Outcome::none, 0, {}, {}});
-            });
-        if (failed == 0) return;
-        const std::unique_ptr<Reading> whole(reading);
-        whole->done(std::nullopt);
+// --- Proposals and reads ---
+
+void RaftNode::Impl::propose(const std::string& command, ResultCallback done) {
+    auto owner = std::make_unique<ApplyRequest>(ApplyRequest{{}, std::move(done)});
+    owner->request.data = owner.get();
+    const raft_buffer buffer = make_raft_buffer(command);
+    const int rejected = raft_apply(
+        &raft_instance, &owner->request, &buffer, 1,
+        [](struct raft_apply* request, int status, void* result) {
+            const std::unique_ptr<ApplyRequest> finished(static_cast<ApplyRequest*>(request->data));
+            const auto* answer = static_cast<const CommandResult*>(result);
+            finished->done(status == 0 && answer ? std::optional(*answer) : std::nullopt);
+        });
+    if (rejected == 0) {
+        static_cast<void>(owner.release());  // the library's until its callback
+        return;
     }
+    raft_free(buffer.base);
+    owner->done(std::nullopt);
+}
 
-    void give_lead(const std::string& to, ResultCallback done) {
-        if (to == self)
-            return done(CommandResult{rollout::Outcome::granted, raft_.current_term, "leads already", {}});
-        const auto all = voters();
-        if (std::find(all.begin(), all.end(), to) == all.end())
-            return done(CommandResult{rollout::Outcome::rejected, 0, to + " does not vote", {}});
-        if (changing) return done(std::nullopt);
-        hand_over(id_of(to), [this, to, done = std::move(done)] {
-            // Known once the other has won: until then it is asked again.
-            done(leader() == to
-                     ? std::optional(CommandResult{rollout::Outcome::granted, raft_.current_term, {}, {}})
-                     : std::nullopt);
+void RaftNode::Impl::read(const std::string& key, ResultCallback done) {
+    auto owner = std::make_unique<ReadRequest>(ReadRequest{{}, machine, key, std::move(done)});
+    owner->request.data = owner.get();
+    const int rejected =
+        raft_barrier(&raft_instance, &owner->request, [](struct raft_barrier* request, int status) {
+            const std::unique_ptr<ReadRequest> finished(static_cast<ReadRequest*>(request->data));
+            if (status != 0) return finished->done(std::nullopt);
+            const kv_store::Entry* entry = finished->machine.kv_store().find(finished->key);
+            if (!entry) return finished->done(CommandResult{rollout::Outcome::none, 0, {}, {}});
+            finished->done(CommandResult{rollout::Outcome::granted, entry->version, entry->value, {}});
         });
+    if (rejected == 0) {
+        static_cast<void>(owner.release());  // the library's until its callback
+        return;
     }
+    owner->done(std::nullopt);
+}
 
-    void propose(const std::string& command, ResultCallback done) {
-        auto* applying = new Applying{{}, std::move(done)};
-        applying->request.data = applying;
-        const raft_buffer buffer = buffer_of(command);
-        const int failed = raft_apply(
-            &raft_, &applying->request, &buffer, 1, [](struct raft_apply* request, int status, void* result) {
-                const std::unique_ptr<Applying> whole(static_cast<Applying*>(request->data));
-                const auto* answer = static_cast<const CommandResult*>(result);
-                whole->done(status == 0 && answer ? std::optional(*answer) : std::nullopt);
-            });
-        if (failed == 0) return;
-        raft_free(buffer.base);
-        const std::unique_ptr<Applying> whole(applying);
-        whole->done(std::nullopt);
-    }
-};
+// --- The public part ---
 
 RaftNode::RaftNode(net::Loop& loop, const MessageCodec& codec, const std::string& name, Hooks hooks)
-    : log_(std::make_unique<Log>(loop, codec, name, std::move(hooks))) {}
+    : impl_(std::make_unique<Impl>(loop, codec, name, std::move(hooks))) {}
 RaftNode::~RaftNode() = default;
 
-std::string RaftNode::open(bool joins) {
-    return log_->open(joins);
-}
-std::string RaftNode::check_directory(const std::string& folder) {
-    const base::DirectoryLock lock(folder);
-    if (!lock.error().empty()) return lock.error();
-    std::error_code fault;
-    for (std::filesystem::directory_iterator it(folder, fault), end; !fault && it != end;
-         it.increment(fault)) {
-        std::string bytes;
-        if (it->is_regular_file(fault)) base::read_entire_file(it->path().string(), kLongestFile, bytes);
-    }
-    return fault ? fault.message() : std::string{};
+std::string RaftNode::open(LogStart start) {
+    return impl_->open(start);
 }
 bool RaftNode::has_lost_log() const {
-    return log_->lost_log();
+    return impl_->directory.has_lost_log();
 }
 void RaftNode::stop() {
-    log_->failed = true;
-    log_->close();
+    impl_->failed = true;
+    impl_->close();
 }
 bool RaftNode::stopped() const {
-    return log_->failed;
+    return impl_->failed;
 }
 void RaftNode::close() {
-    log_->close();
+    impl_->close();
 }
 bool RaftNode::closing() const {
-    return log_->up;
+    return impl_->library_open;
 }
 void RaftNode::close_now() {
-    log_->shut();
+    impl_->close_now();
 }
 bool RaftNode::is_disk_stuck() const {
-    return log_->disk.is_stuck();
+    return impl_->disk.is_stuck();
 }
 bool RaftNode::is_voter() const {
-    return log_->votes();
+    return impl_->votes();
 }
 bool RaftNode::is_leader() const {
-    return log_->leads();
+    return impl_->leads();
 }
 std::string RaftNode::leader() const {
-    return log_->leader();
+    return impl_->leader();
 }
 bool RaftNode::caught_up() const {
-    return log_->caught_up();
+    return impl_->caught_up();
 }
 std::vector<std::string> RaftNode::voters() const {
-    return log_->voters();
+    return impl_->reconciler.voters();
 }
 std::uint64_t RaftNode::history() const {
-    return log_->transport.history();
-}
-std::string RaftNode::write_history(const std::string& folder, std::uint64_t history) {
-    return Log::put_history(folder, history);
+    return impl_->transport.history();
 }
 const rollout::State& RaftNode::state() const {
-    return log_->state;
+    return impl_->machine.state();
 }
 const kv_store::State& RaftNode::kv_store() const {
-    return log_->registry;
+    return impl_->machine.kv_store();
 }
 void RaftNode::reconcile_voters() {
-    log_->tend();
+    if (impl_->leads()) impl_->reconciler.reconcile();
 }
-void RaftNode::propose(const std::string& command, ResultCallback told) {
-    log_->propose(command, std::move(told));
+void RaftNode::propose(const std::string& command, ResultCallback done) {
+    impl_->propose(command, std::move(done));
 }
-void RaftNode::read(const std::string& key, ResultCallback told) {
-    log_->read(key, std::move(told));
+void RaftNode::read(const std::string& key, ResultCallback done) {
+    impl_->read(key, std::move(done));
 }
-void RaftNode::transfer_leadership(const std::string& to, ResultCallback told) {
-    log_->give_lead(to, std::move(told));
+void RaftNode::transfer_leadership(const std::string& to, ResultCallback done) {
+    impl_->transfer_leadership(to, std::move(done));
 }
 
 }  // namespace sumackeel::consensus
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -1,9 +1,9 @@
-// One of those that vote on the agreed log: the raft library's log, disk and elections on this loop, and the
-// states that the log drives. Who may vote and what is proposed is decided by whoever owns it.
+// One voter of the replicated log: the raft library's log, disk and elections on this loop, and the states
+// that the log drives. Its owner decides who may vote and what is proposed.
 //
-// Promises: what `propose` answered is on disk at a majority; nothing is told once it was shut. It is one
-// process at a folder: the lock is held from `open` until the log is closed. A log whose disk fails is
-// closed, never gone on with.
+// Guarantees: a proposal that was answered is on disk at a majority; no callback is called once close_now()
+// has returned; the lock of the log's directory is held from open() until the log is closed, so no two
+// processes write one log; a log whose disk fails is closed and never used again.
 #pragma once
 
 #include <cstdint>
@@ -24,19 +24,25 @@
 
 using cluster_transport::MessageCodec;
 
+// How a voter without a log begins.
+enum class LogStart : std::uint8_t {
+    bootstrap,  // writes the first entry, the voters of the operator's file
+    join,       // there is a log already; the leader adds this voter and sends it what it lacks
+};
+
 class RaftNode {
   public:
-    // None: not agreed on in this one's lead. It may have been all the same.
+    // None: not committed while this one led. It may have been committed all the same.
     using ResultCallback = std::function<void(std::optional<rollout::CommandResult>)>;
     struct Hooks {
-        const config::Consensus& setup;                        // as it stands now
-        const std::map<std::string, std::string>& ever;        // all that it ever named as voters
-        std::string marks;                                     // the folder that tells whether it had a log
-        std::function<std::string(const std::string&)> reach;  // where an address is reached from here
-        std::function<bool(const std::string&)> there;         // a voter is alive to the group
-        std::function<void()> leaves, registered;              // another state of leaves, of the registry
-        std::function<void(std::uint64_t)> older;  // another voter has a log of that later history
-        std::function<void()> failed;              // the log can't be written, and is closed
+        const config::Consensus& setup;                          // as it stands now
+        const std::map<std::string, std::string>& known_voters;  // by name: all that a file here has named
+        std::string marker_directory;                            // shows whether this one has had a log
+        std::function<std::string(const std::string&)> reachable_address;  // where it is reached from here
+        std::function<bool(const std::string& voter)> is_alive;            // by the cluster's membership
+        std::function<void()> state_changed, kv_store_changed;
+        std::function<void(std::uint64_t history)> newer_history_found;  // another voter's log has it
+        std::function<void()> failed;  // the log can't be written, and was closed
     };
 
     RaftNode(net::Loop& loop, const MessageCodec& codec, const std::string& name, Hooks hooks);
@@ -44,44 +50,42 @@
     RaftNode(const RaftNode&) = delete;
     RaftNode& operator=(const RaftNode&) = delete;
 
-    // Takes the folder and starts. Empty: done; else what went wrong, and this is to be closed. `joins`:
-    // there is a log, so none is begun.
-    std::string open(bool joins);
-    // Reads all that is in the folder, for one that may hang: not on the loop. Empty: it can be opened; else
-    // what is wrong with it.
-    static std::string check_directory(const std::string& folder);
-    // It had a log before, and what that voted for is lost with it.
+    // Locks the directory and starts. Empty on success, else the error; then this is to be closed. Throws
+    // ConsensusError where a forced start can't read the log's history.
+    std::string open(LogStart start);
+    // It had a log before, and the votes recorded in it are lost with it.
     bool has_lost_log() const;
     // Votes no more, and closes.
     void stop();
     bool stopped() const;
+    // Begins to close; what the library still has to finish, it finishes on the loop.
     void close();
-    bool closing() const;  // the library still has something to end, or was never told to
-    // At once; the loop is run until that is done. Not from within a call of the loop.
+    bool closing() const;  // the library is open, or has not finished closing
+    // Closes at once, and runs the loop until that is done. Not from within a callback of the loop.
     void close_now();
-    bool is_disk_stuck() const;  // shut() would wait for it
+    bool is_disk_stuck() const;  // close_now() would wait for it
 
     bool is_voter() const;
     bool is_leader() const;
-    std::string leader() const;               // a name; empty: none is known
-    bool caught_up() const;                   // what was in the log when a leader was met is applied
+    std::string leader() const;  // a name; empty: none is known
+    bool caught_up() const;      // all that was in the log when a leader was first known is applied
     std::vector<std::string> voters() const;  // an empty name: one that no file here has named
-    std::uint64_t history() const;
-    static std::string write_history(const std::string& folder, std::uint64_t history);
+    std::uint64_t history() const;            // of the log, see RaftDirectory
 
     const rollout::State& state() const;
     const kv_store::State& kv_store() const;
 
-    // Of a leader, once a second: the log's voters are made those of the operator's file.
+    // Once a second: as the leader, brings the log's voters nearer to those of the operator's file.
     void reconcile_voters();
-    void propose(const std::string& command, ResultCallback told);
-    // Behind all that was agreed on before it was asked for: `granted` with version and value, or `nothing`.
-    void read(const std::string& key, ResultCallback told);
-    void transfer_leadership(const std::string& to, ResultCallback told);
+    void propose(const std::string& command, ResultCallback done);
+    // Linearizable: sees all that was committed before the call. `granted` with version and value, or `none`.
+    void read(const std::string& key, ResultCallback done);
+    // `granted` with the term once `to` leads, `rejected` where it does not vote.
+    void transfer_leadership(const std::string& to, ResultCallback done);
 
   private:
-    struct Log;
-    std::unique_ptr<Log> log_;
+    struct Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace sumackeel::consensus
--- /dev/null
+++ b/src/consensus/state_follower.cpp
@@ -0,0 +1,122 @@
+#include "consensus/state_follower.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "base/log.h"
+#include "consensus/consensus_messages.h"
+
+namespace sumackeel::consensus {
+
+using base::Micros;
+
+namespace {
+
+// Bans reach members that do not vote within 1 s; where members are many the interval grows up to its bound.
+constexpr Micros kMinPollInterval = 250'000, kPollIntervalPerMember = 2'000, kMaxPollInterval = 900'000;
+
+}  // namespace
+
+StateFollower::StateFollower(net::Loop& loop, ClusterTransport& transport, const config::Consensus& setup,
+                             Hooks hooks)
+    : loop_(loop), transport_(transport), setup_(setup), hooks_(std::move(hooks)) {}
+
+StateFollower::~StateFollower() {
+    close();
+}
+
+void StateFollower::close() {
+    alive_.reset();
+    stop_polling();
+}
+
+void StateFollower::stop_polling() {
+    if (!poll_timer_) return;
+    loop_.timers().cancel(*poll_timer_);
+    poll_timer_.reset();
+}
+
+void StateFollower::start_polling() {
+    const std::string voter = next_voter();
+    const Micros interval =
+        std::clamp(kPollIntervalPerMember * static_cast<Micros>(transport_.membership().member_count()),
+                   kMinPollInterval, kMaxPollInterval);
+    poll_timer_ = loop_.timers().schedule(loop_.clock().now() + interval, [this] { start_polling(); });
+    poll(voter, interval);
+}
+
+std::string StateFollower::next_voter() {
+    auto voter = setup_.voters.begin();
+    std::advance(voter, static_cast<std::ptrdiff_t>(next_voter_++ % setup_.voters.size()));
+    return voter->first;
+}
+
+void StateFollower::poll(const std::string& voter, Micros timeout) {
+    const std::weak_ptr<bool> alive = alive_;
+    const KnownRevision known{state_.revision(), needs_full_kv_store_ ? 0 : kv_store_.revision(), history_};
+    transport_.call(voter, kStateVerb, encode(known), timeout,
+                    [this, alive](std::optional<std::string> body) {
+                        if (alive.expired() || !body) return;
+                        try {
+                            on_reply(*body);
+                        } catch (const std::exception& error) {
+                            log::warn("consensus: state reply rejected reason={}", error.what());
+                        }
+                    });
+}
+
+// Of an earlier history, or of a voter that is behind, nothing is taken; a later history, as after a forced
+// start, makes the copy void.
+void StateFollower::on_reply(const std::string& body) {
+    const ConsensusReply reply = decode_reply(body);
+    if (reply.history < history_) return;
+    if (!reply.leader.empty()) leader_ = reply.leader;
+    if (reply.done) {
+        known_ = true;
+        confirmed_at_ = loop_.clock().now();
+    }
+    if (reply.history > history_) {
+        if (!reply.done) return;
+        state_ = {};
+        kv_store_ = {};
+        history_ = reply.history;
+    }
+    if (!reply.kv_store_update.empty()) apply_kv_store_update(reply.kv_store_update);
+    if (!reply.body.empty()) apply_state(reply.body);
+}
+
+// A voter that is behind sends all that it has, which is less than the copy: the revision decides.
+void StateFollower::apply_kv_store_update(const std::string& update) {
+    if (kv_store::revision_of_update(update) <= kv_store_.revision()) return;
+    needs_full_kv_store_ = !kv_store_.apply_update(update);  // throws before it changes anything
+    if (!needs_full_kv_store_) hooks_.kv_store_changed();
+}
+
+void StateFollower::apply_state(const std::string& body) {
+    rollout::State state = rollout::State::decode(body);
+    if (state.revision() <= state_.revision()) return;
+    state_ = std::move(state);
+    hooks_.state_changed(state_);
+}
+
+std::optional<Micros> StateFollower::confirmed_age() const {
+    if (!confirmed_at_) return std::nullopt;
+    return loop_.clock().now() - *confirmed_at_;
+}
+
+void StateFollower::adopt(const RaftNode& node) {
+    if (node.state().revision() > state_.revision()) state_ = node.state();
+    if (node.kv_store().revision() > kv_store_.revision()) kv_store_ = node.kv_store();
+    raise_history(node.history());
+}
+
+void StateFollower::reset(std::uint64_t history) {
+    state_ = {};
+    kv_store_ = {};
+    known_ = false;
+    leader_.clear();
+    history_ = history;
+}
+
+}  // namespace sumackeel::consensus
