--- a/src/consensus/consensus_client.h
+++ b/src/consensus/consensus_client.h
@@ -31,7 +31,7 @@
     using ResultCallback = RaftNode::ResultCallback;
 
     // Throws ConsensusError where the folder or the address can't be used. `transport` outlives this.
-    // `wait_for_folder`: another process of this proxy may hold it until that one is told to end.
+    // `wait_for_folder`: another process of this proxy may hold it until that one is asked to end.
     ConsensusClient(net::Loop& loop, ClusterTransport& transport, const config::Consensus& setup,
                     bool wait_for_folder, FleetView fleet, StateCallback state_changed);
     ~ConsensusClient();
--- a/src/consensus/consensus_server.cpp
+++ b/src/consensus/consensus_server.cpp
@@ -50,7 +50,7 @@
                        });
 }
 
-// Revisions of another history say nothing of what that member lacks: it gets the whole state.
+// Revisions of another history say nothing of what that member lacks: it gets the complete state.
 std::string ConsensusServer::state_reply(const KnownRevision& known) const {
     const RaftNode& node = voter_.node();
     const std::string leader = own_leader();
--- a/src/consensus/local_voter.cpp
+++ b/src/consensus/local_voter.cpp
@@ -38,7 +38,7 @@
     close_now();
 }
 
-// Two processes at one log would ruin it. The one before this one releases the directory when it is told to
+// Two processes at one log would ruin it. The one before this one releases the directory when it is asked to
 // end; until then this one polls the others. One that lost its log waits until the others have a leader.
 void LocalVoter::start(bool wait_for_folder) {
     if (!setup_.voters.contains(self())) return;
--- a/src/consensus/raft_transport.cpp
+++ b/src/consensus/raft_transport.cpp
@@ -3,272 +3,262 @@
 #include <openssl/rand.h>
 #include <unistd.h>
 
-#include <algorithm>
-#include <array>
-#include <cstring>
+#include <utility>
 
 #include "base/log.h"
+#include "consensus/raft_handshake.h"
 
 namespace sumackeel::consensus {
 
 namespace {
 
-constexpr std::size_t kNonce = 16, kCode = 16, kAddress = 64, kNumber = 8;
-constexpr std::size_t kFirst = kNonce + kNumber + kCode;  // nonce, history, code over both
-// id, address, history, code over the nonce and all three
-constexpr std::size_t kHello = kNumber + kAddress + kNumber + kCode;
-constexpr std::size_t kMostHands = 12;  // those that are coming up; beyond it the oldest goes
-constexpr base::Micros kHandPatience = 1'000'000;
+constexpr std::size_t kMaxHandshakes = 12;  // at once; beyond it the oldest is closed
+constexpr base::Micros kHandshakeTimeout = 1'000'000;
 
-std::string number(std::uint64_t value) {
-    std::string text;
-    for (unsigned shift = 0; shift < 64; shift += 8) text += static_cast<char>(value >> shift);
-    return text;
-}
-std::uint64_t number_in(std::string_view bytes) {
-    std::uint64_t value = 0;
-    for (std::size_t i = kNumber; i-- > 0;) value = value << 8 | static_cast<unsigned char>(bytes[i]);
-    return value;
+RaftTransport& transport_of(raft_uv_transport* raw) {
+    return *static_cast<RaftTransport*>(raw->impl);
 }
 
 }  // namespace
 
-// Who listens sends a nonce and the history of its log; who connects answers with its id, its address and its
-// history, each with a code. Exactly as many bytes as that are read, so that the first of the log stay in the
-// socket.
-struct RaftTransport::Hand {
+// Exactly the bytes of the handshake are read, so that the first of the log stay in the socket.
+struct RaftTransport::Handshake {
     RaftTransport& owner;
     uv_tcp_t* tcp = static_cast<uv_tcp_t*>(raft_malloc(sizeof(uv_tcp_t)));  // the library frees it
     uv_connect_t connecting{};
     uv_write_t writing{};
-    raft_uv_connect* request = nullptr;  // ours; null: it came in
-    raft_uv_connect_cb cb = nullptr;
-    std::array<char, kFirst> first{};
-    std::array<char, kHello> hello{};
-    std::size_t have = 0;
-    base::TimerQueue::Key by;
+    raft_uv_connect* request = nullptr;  // of the library; null: an incoming connection
+    raft_uv_connect_cb on_connected = nullptr;
+    Greeting greeting{};
+    HelloBytes hello{};
+    char* read_buffer = nullptr;
+    std::size_t read_size = 0;
+    std::size_t bytes_read = 0;
+    base::TimerQueue::Key timeout;
+    bool dropped = false;
+    int drop_status = 0;
 
-    explicit Hand(RaftTransport& o) : owner(o) {
+    explicit Handshake(RaftTransport& transport) : owner(transport) {
         uv_tcp_init(owner.loop_.raw(), tcp);
         tcp->data = this;
-        connecting.data = writing.data = this;
-        by = owner.loop_.timers().schedule(owner.loop_.clock().now() + kHandPatience,
-                                           [this] { drop(RAFT_NOCONNECTION); });
-        owner.hands_.push_back(this);
+        connecting.data = this;
+        writing.data = this;
+        timeout = owner.loop_.timers().schedule(owner.loop_.clock().now() + kHandshakeTimeout,
+                                                [this] { drop(RAFT_NOCONNECTION); });
+        owner.handshakes_.push_back(this);
     }
 
-    std::string_view nonce() const { return {first.data(), kNonce}; }
-    std::string_view part(std::size_t at, std::size_t size) const { return {hello.data() + at, size}; }
-    std::string said() const {  // what the code of the hello is over
-        return std::string(nonce()).append(part(0, kHello - kCode));
+    template <typename Handle>
+    static Handshake& of(const Handle* handle) {
+        return *static_cast<Handshake*>(handle->data);
     }
 
-    void read(char* into, std::size_t most) {
-        reading_into = into, reading_most = most;
-        have = 0;
+    // `into` outlives the handshake's reading.
+    template <std::size_t kSize>
+    void read(std::array<char, kSize>& into) {
+        read_buffer = into.data();
+        read_size = kSize;
+        bytes_read = 0;
         uv_read_start(
             reinterpret_cast<uv_stream_t*>(tcp),
             [](uv_handle_t* handle, std::size_t, uv_buf_t* buffer) {
-                auto* self = static_cast<Hand*>(handle->data);
-                *buffer = uv_buf_init(self->reading_into + self->have,
-                                      static_cast<unsigned>(self->reading_most - self->have));
+                const Handshake& self = of(handle);
+                *buffer = uv_buf_init(self.read_buffer + self.bytes_read,
+                                      static_cast<unsigned>(self.read_size - self.bytes_read));
             },
-            [](uv_stream_t* stream, ssize_t count, const uv_buf_t*) {
-                auto* self = static_cast<Hand*>(stream->data);
-                if (count < 0) return self->drop(RAFT_NOCONNECTION);
-                self->have += static_cast<std::size_t>(count);
-                if (self->have < self->reading_most) return;
-                uv_read_stop(stream);
-                self->request ? self->answer() : self->judge();
-            });
+            [](uv_stream_t* stream, ssize_t count, const uv_buf_t*) { of(stream).on_read(count); });
+    }
+
+    void on_read(ssize_t count) {
+        if (count < 0) return drop(RAFT_NOCONNECTION);
+        bytes_read += static_cast<std::size_t>(count);
+        if (bytes_read < read_size) return;
+        uv_read_stop(reinterpret_cast<uv_stream_t*>(tcp));
+        request ? on_greeting() : on_hello();
     }
 
-    void write(const char* bytes, std::size_t size, uv_write_cb done) {
-        const uv_buf_t buffer = uv_buf_init(const_cast<char*>(bytes), static_cast<unsigned>(size));
+    template <std::size_t kSize>
+    void write(std::array<char, kSize>& bytes, uv_write_cb done) {
+        const uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(kSize));
         if (uv_write(&writing, reinterpret_cast<uv_stream_t*>(tcp), &buffer, 1, done) != 0)
             drop(RAFT_NOCONNECTION);
     }
 
-    // Whether the other's log is of our history; one that is later is told.
-    bool same(std::uint64_t history) {
-        if (history > owner.history_) owner.newer_(history);
+    // Whether the other's log is of the own history; a later one is reported.
+    bool check_history(std::uint64_t history) {
+        if (history > owner.history_) owner.newer_history_found_(history);
         return history == owner.history_;
     }
 
-    void greet() {  // it came in
-        if (RAND_bytes(reinterpret_cast<unsigned char*>(first.data()), kNonce) != 1)
+    void send_greeting() {
+        if (RAND_bytes(reinterpret_cast<unsigned char*>(greeting.data()), kNonceBytes) != 1)
             return drop(RAFT_NOCONNECTION);
-        const std::string bytes = std::string(nonce()) + number(owner.history_);
-        std::memcpy(first.data(), bytes.data(), bytes.size());
-        std::memcpy(first.data() + bytes.size(), owner.codec_.mac_of(bytes).data(), kCode);
-        write(first.data(), kFirst, [](uv_write_t* request, int written) {
-            auto* self = static_cast<Hand*>(request->data);
-            if (self->dropped) return;
-            written == 0 ? self->read(self->hello.data(), kHello) : self->drop(RAFT_NOCONNECTION);
+        encode_greeting(owner.codec_, owner.history_, greeting);
+        write(greeting, [](uv_write_t* written, int status) {
+            Handshake& self = of(written);
+            if (self.dropped) return;
+            status == 0 ? self.read(self.hello) : self.drop(RAFT_NOCONNECTION);
         });
     }
 
-    void answer() {  // ours: the nonce has come
-        const std::string_view bytes(first.data(), kFirst - kCode);
-        if (!owner.codec_.verify_mac(bytes, {first.data() + bytes.size(), kCode})) {
-            ++owner.refused_;
-            return drop(RAFT_NOCONNECTION);
-        }
-        // Also told to one of an older history, which so learns of ours; then it ends.
-        const bool ours = same(number_in(bytes.substr(kNonce)));
-        std::string address = owner.address_.substr(0, kAddress - 1);
-        address.resize(kAddress, 0);
-        const std::string told = number(owner.id_) + address + number(owner.history_);
-        std::memcpy(hello.data(), told.data(), told.size());
-        std::memcpy(hello.data() + told.size(), owner.codec_.mac_of(said()).data(), kCode);
-        if (ours)
-            return write(hello.data(), hello.size(), [](uv_write_t* request, int status) {
-                auto* self = static_cast<Hand*>(request->data);
-                if (self->dropped) return;
-                status == 0 ? self->give() : self->drop(RAFT_NOCONNECTION);
-            });
-        write(hello.data(), hello.size(),
-              [](uv_write_t* request, int) { static_cast<Hand*>(request->data)->drop(RAFT_NOCONNECTION); });
+    void on_greeting() {
+        if (!verify_greeting(owner.codec_, greeting)) return reject();
+        // The hello is also sent to one of an older history, which learns of the later one by it.
+        const bool same_history = check_history(history_of(greeting));
+        hello = encode_hello(owner.codec_, greeting, {owner.own_id_, owner.own_address_, owner.history_});
+        if (!same_history)
+            return write(hello, [](uv_write_t* written, int) { of(written).drop(RAFT_NOCONNECTION); });
+        write(hello, [](uv_write_t* written, int status) {
+            Handshake& self = of(written);
+            if (self.dropped) return;
+            status == 0 ? self.hand_over_outgoing() : self.drop(RAFT_NOCONNECTION);
+        });
     }
 
-    void judge() {  // it came in: the hello is there
-        const raft_id id = number_in(part(0, kNumber));
-        if (id == 0 || !owner.codec_.verify_mac(said(), part(kHello - kCode, kCode))) {
-            ++owner.refused_;
-            return drop(RAFT_NOCONNECTION);
-        }
-        if (!same(number_in(part(kNumber + kAddress, kNumber)))) return drop(RAFT_NOCONNECTION);
-        hello[kNumber + kAddress - 1] = 0;
-        const std::string address(hello.data() + kNumber);
-        uv_tcp_t* stream = release();
-        owner.accepted_(&owner.transport_, id, address.c_str(), reinterpret_cast<uv_stream_t*>(stream));
-        owner.closed(this);
+    void on_hello() {
+        const Hello received = decode_hello(hello);
+        if (received.id == 0 || !verify_hello(owner.codec_, greeting, hello)) return reject();
+        if (!check_history(received.history)) return drop(RAFT_NOCONNECTION);
+        uv_tcp_t* stream = release_socket();
+        owner.on_accepted_(&owner.transport_, received.id, received.address.c_str(),
+                           reinterpret_cast<uv_stream_t*>(stream));
+        owner.on_handshake_closed(this);
     }
 
-    uv_tcp_t* release() {
-        owner.loop_.timers().cancel(by);
+    void hand_over_outgoing() {
+        const auto callback = on_connected;
+        auto* finished = request;
+        uv_tcp_t* stream = release_socket();
+        owner.on_handshake_closed(this);
+        callback(finished, reinterpret_cast<uv_stream_t*>(stream), 0);
+    }
+
+    uv_tcp_t* release_socket() {
+        owner.loop_.timers().cancel(timeout);
         return std::exchange(tcp, nullptr);
     }
 
-    void give() {
-        const auto told = cb;
-        auto* what = request;
-        uv_tcp_t* stream = release();
-        owner.closed(this);
-        told(what, reinterpret_cast<uv_stream_t*>(stream), 0);
+    void reject() {
+        ++owner.rejected_;
+        drop(RAFT_NOCONNECTION);
     }
 
     void drop(int status) {
         if (std::exchange(dropped, true)) return;
-        owner.loop_.timers().cancel(by);
-        result = status;
+        owner.loop_.timers().cancel(timeout);
+        drop_status = status;
         uv_close(reinterpret_cast<uv_handle_t*>(tcp), [](uv_handle_t* handle) {
-            auto* self = static_cast<Hand*>(handle->data);
+            Handshake& self = of(handle);
             raft_free(handle);
-            const auto told = self->cb;
-            auto* what = self->request;
-            const int status = self->result;
-            RaftTransport& transport = self->owner;
-            transport.closed(self);
-            if (told) told(what, nullptr, status);
+            const auto callback = self.on_connected;
+            auto* failed = self.request;
+            const int result = self.drop_status;
+            self.owner.on_handshake_closed(&self);
+            if (callback) callback(failed, nullptr, result);
         });
     }
-
-    char* reading_into = nullptr;
-    std::size_t reading_most = 0;
-    bool dropped = false;
-    int result = 0;
 };
 
-RaftTransport::RaftTransport(net::Loop& loop, const MessageCodec& codec, std::string listen,
-                             std::function<std::string(const std::string&)> reach,
-                             std::function<void(std::uint64_t)> newer)
+RaftTransport::RaftTransport(net::Loop& loop, const MessageCodec& codec, std::string listen_address,
+                             std::function<std::string(const std::string&)> reachable_address,
+                             std::function<void(std::uint64_t)> newer_history_found)
     : loop_(loop),
       codec_(codec),
-      listen_(std::move(listen)),
-      reach_(std::move(reach)),
-      newer_(std::move(newer)) {
+      listen_address_(std::move(listen_address)),
+      reachable_address_(std::move(reachable_address)),
+      newer_history_found_(std::move(newer_history_found)) {
     transport_.impl = this;  // `data` is the library's
-    transport_.init = [](raft_uv_transport* t, raft_id id, const char* address) {
-        auto* self = static_cast<RaftTransport*>(t->impl);
-        self->id_ = id, self->address_ = address;
+    transport_.init = [](raft_uv_transport* raw, raft_id id, const char* address) {
+        RaftTransport& self = transport_of(raw);
+        self.own_id_ = id;
+        self.own_address_ = address;
         return 0;
     };
-    transport_.listen = [](raft_uv_transport* t, raft_uv_accept_cb cb) {
-        auto* self = static_cast<RaftTransport*>(t->impl);
-        self->accepted_ = cb;
-        sockaddr_in at{};
-        if (!net::parse_address(self->listen_, at)) return RAFT_INVALID;
-        try {
-            self->listener_ =
-                std::make_unique<net::Listener>(self->loop_, self->listen_, [self] { self->take_next(); });
-        } catch (const std::exception& wrong) {
-            log::error("agreed: {}", wrong.what());
-            return RAFT_IOERR;
-        }
-        return 0;
+    transport_.listen = [](raft_uv_transport* raw, raft_uv_accept_cb on_accepted) {
+        return transport_of(raw).listen(on_accepted);
     };
-    transport_.connect = [](raft_uv_transport* t, raft_uv_connect* request, raft_id, const char* address,
-                            raft_uv_connect_cb cb) {
-        auto* self = static_cast<RaftTransport*>(t->impl);
-        sockaddr_in to{};
-        if (self->closing_ || !net::parse_address(self->reach_(address), to)) return RAFT_NOCONNECTION;
-        auto* hand = new Hand(*self);
-        hand->request = request, hand->cb = cb;
-        if (uv_tcp_connect(&hand->connecting, hand->tcp, reinterpret_cast<const sockaddr*>(&to),
-                           [](uv_connect_t* connecting, int status) {
-                               auto* made = static_cast<Hand*>(connecting->data);
-                               if (made->dropped) return;
-                               if (status != 0) return made->drop(RAFT_NOCONNECTION);
-                               uv_tcp_nodelay(made->tcp, 1);
-                               made->read(made->first.data(), kFirst);
-                           }) != 0)
-            hand->drop(RAFT_NOCONNECTION);
-        return 0;
+    transport_.connect = [](raft_uv_transport* raw, raft_uv_connect* request, raft_id, const char* address,
+                            raft_uv_connect_cb on_connected) {
+        return transport_of(raw).connect(request, address, on_connected);
     };
-    transport_.close = [](raft_uv_transport* t, raft_uv_transport_close_cb cb) {
-        auto* self = static_cast<RaftTransport*>(t->impl);
-        self->closing_ = true;
-        self->close_cb_ = cb;
-        const auto hands = self->hands_;
-        for (Hand* hand : hands) hand->drop(RAFT_CANCELED);
-        self->listener_.reset();
-        // Told from the loop, as the library expects it of whatever closes.
-        auto* told_later = new uv_timer_t;
-        uv_timer_init(self->loop_.raw(), told_later);
-        told_later->data = self;
-        uv_close(reinterpret_cast<uv_handle_t*>(told_later), [](uv_handle_t* handle) {
-            auto* owner = static_cast<RaftTransport*>(handle->data);
-            delete reinterpret_cast<uv_timer_t*>(handle);
-            owner->closed_listener_ = true;
-            owner->finish_close();
-        });
+    transport_.close = [](raft_uv_transport* raw, raft_uv_transport_close_cb on_closed) {
+        transport_of(raw).close(on_closed);
     };
 }
 
-void RaftTransport::take_next() {
+RaftTransport::~RaftTransport() = default;
+
+int RaftTransport::listen(raft_uv_accept_cb on_accepted) {
+    on_accepted_ = on_accepted;
+    sockaddr_in address{};
+    if (!net::parse_address(listen_address_, address)) return RAFT_INVALID;
+    try {
+        listener_ = std::make_unique<net::Listener>(loop_, listen_address_, [this] { on_incoming(); });
+    } catch (const std::exception& error) {
+        log::error("consensus: listen failed address={} reason={}", listen_address_, error.what());
+        return RAFT_IOERR;
+    }
+    return 0;
+}
+
+int RaftTransport::connect(raft_uv_connect* request, const char* address, raft_uv_connect_cb on_connected) {
+    sockaddr_in target{};
+    if (closing_ || !net::parse_address(reachable_address_(address), target)) return RAFT_NOCONNECTION;
+    auto* handshake = new Handshake(*this);
+    handshake->request = request;
+    handshake->on_connected = on_connected;
+    const auto connected = [](uv_connect_t* connecting, int status) {
+        Handshake& self = Handshake::of(connecting);
+        if (self.dropped) return;
+        if (status != 0) return self.drop(RAFT_NOCONNECTION);
+        uv_tcp_nodelay(self.tcp, 1);
+        self.read(self.greeting);
+    };
+    if (uv_tcp_connect(&handshake->connecting, handshake->tcp, reinterpret_cast<const sockaddr*>(&target),
+                       connected) != 0)
+        handshake->drop(RAFT_NOCONNECTION);
+    return 0;
+}
+
+void RaftTransport::close(raft_uv_transport_close_cb on_closed) {
+    closing_ = true;
+    on_closed_ = on_closed;
+    const auto open = handshakes_;
+    for (Handshake* handshake : open) handshake->drop(RAFT_CANCELED);
+    listener_.reset();
+    // The library expects the callback from the loop; closing an unused handle gives one.
+    auto* handle = new uv_timer_t;
+    uv_timer_init(loop_.raw(), handle);
+    handle->data = this;
+    uv_close(reinterpret_cast<uv_handle_t*>(handle), [](uv_handle_t* closed) {
+        auto* self = static_cast<RaftTransport*>(closed->data);
+        delete reinterpret_cast<uv_timer_t*>(closed);
+        self->listener_closed_ = true;
+        self->finish_close();
+    });
+}
+
+void RaftTransport::on_incoming() {
     const int fd = closing_ ? -1 : listener_->accept();
     if (fd < 0) return;
-    if (hands_.size() >= kMostHands) hands_.front()->drop(RAFT_NOCONNECTION);
-    auto* hand = new Hand(*this);
-    if (uv_tcp_open(hand->tcp, fd) != 0) {
+    if (handshakes_.size() >= kMaxHandshakes) handshakes_.front()->drop(RAFT_NOCONNECTION);
+    auto* handshake = new Handshake(*this);
+    if (uv_tcp_open(handshake->tcp, fd) != 0) {
         ::close(fd);
-        return hand->drop(RAFT_NOCONNECTION);
+        return handshake->drop(RAFT_NOCONNECTION);
     }
-    hand->greet();
+    handshake->send_greeting();
 }
 
-RaftTransport::~RaftTransport() = default;
-
-void RaftTransport::closed(Hand* hand) {
-    std::erase(hands_, hand);
-    delete hand;
+void RaftTransport::on_handshake_closed(Handshake* handshake) {
+    std::erase(handshakes_, handshake);
+    delete handshake;
     if (closing_) finish_close();
 }
 
 void RaftTransport::finish_close() {
-    if (!closed_listener_ || !hands_.empty() || !close_cb_) return;
-    std::exchange(close_cb_, nullptr)(&transport_);
+    if (!listener_closed_ || !handshakes_.empty() || !on_closed_) return;
+    std::exchange(on_closed_, nullptr)(&transport_);
 }
 
 }  // namespace sumackeel::consensus
--- a/src/consensus/release_coordinator.h
+++ b/src/consensus/release_coordinator.h
@@ -1,5 +1,5 @@
-// The shell of releases: members report to whoever leads, and the leader looks and proposes the step that
-// src/rollout's watch says. Nothing runs but while a release is under way and not halted.
+// Drives a release: members report their metrics to the leader, and the leader proposes the step that
+// src/rollout's ReleaseWatch decides on. Nothing runs unless a release is under way and not halted.
 #pragma once
 
 #include <functional>
@@ -18,30 +18,38 @@
 
 class ReleaseCoordinator {
   public:
-    // `tally`: what this process did since its start. `serving`: it is ready. ClusterTransport and agreed
+    // `metrics`: what this process did since its start. `is_serving`: it is ready. `transport` and `client`
     // outlive this.
-    ReleaseCoordinator(net::Loop& loop, ClusterTransport& peers, ConsensusClient& agreed,
-                       std::function<rollout::MemberMetrics()> tally, std::function<bool()> serving);
+    ReleaseCoordinator(net::Loop& loop, ClusterTransport& transport, ConsensusClient& client,
+                       std::function<rollout::MemberMetrics()> metrics, std::function<bool()> is_serving);
     ~ReleaseCoordinator();
     ReleaseCoordinator(const ReleaseCoordinator&) = delete;
     ReleaseCoordinator& operator=(const ReleaseCoordinator&) = delete;
 
-    void changed();  // the agreed state
+    void changed();  // to be called after each change of the replicated state
+    // The releases, and the members of the one under way; one line.
     std::string as_json() const;
 
   private:
-    void arm();
-    void turn();
+    const rollout::Release* running_release() const;  // null: none, or it is halted
+    void on_report(const std::string& from, const std::string& body);
+    void schedule_tick();
+    void tick();
+    void report_to_leader(const rollout::MemberReport& report);
+    void propose_next_step(const rollout::Release& release);
+    bool has_lease(const std::string& member) const;
+    rollout::MemberStatus own_status() const;
+    rollout::MemberStatus status_of(const cluster::MemberView& member) const;
     std::vector<rollout::MemberStatus> members() const;
 
     net::Loop& loop_;
-    ClusterTransport& peers_;
-    ConsensusClient& agreed_;
-    std::function<rollout::MemberMetrics()> tally_;
-    std::function<bool()> serving_;
+    ClusterTransport& transport_;
+    ConsensusClient& client_;
+    std::function<rollout::MemberMetrics()> metrics_;
+    std::function<bool()> is_serving_;
     rollout::ReleaseWatch watch_;
     bool proposing_ = false;
-    std::optional<base::TimerQueue::Key> next_;
+    std::optional<base::TimerQueue::Key> tick_timer_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
