--- a/src/consensus/raft_handshake.h
+++ b/src/consensus/raft_handshake.h
@@ -1,4 +1,4 @@
-// The handshake of two voters, before the first byte of the log (docs/design/agreed.md has the wire). Who
+// The handshake of two voters, before the first byte of the log. Who
 // listens sends a greeting: a nonce and the history of its log. Who connects replies with a hello: its id,
 // its address and its history. Each ends with a code by the cluster's key; that of the hello covers the
 // nonce.
--- a/src/recovery/fill_budget.h
+++ b/src/recovery/fill_budget.h
@@ -1,11 +1,11 @@
-// What one proxy may let through while the fleet comes back: its part of the fills that all together may
-// begin, from the origin and from the hubs. Pure; microseconds of a clock that only runs on.
+// The cache fills that one proxy admits while the cluster recovers: its quota of the fills that all proxies
+// together may begin, from the origin and from the regions' caches. Pure; microseconds of a steady clock.
 //
-// A request is let through for what it will cost by the share of late that took a fill, and settled when it
-// ends: so a proxy before warm caches is not held back by what it might have cost.
-// Promises: over any second no more fills are begun than the part rises to, and one bucket, as far as the
-// share is right; what needs no copy is always let through; nothing is held; large objects pass step
-// by step as priming goes on. Bounds: kMostPrimed keys.
+// A request is charged by the fraction of recent requests that took a fill, and settled when it ends: so a
+// proxy in front of warm caches is not limited by what its requests might have cost.
+// Guarantees: in any second no more fills begin than the quota and one bucket allow, as far as that fraction
+// is right; what needs no copy is always admitted; nothing is queued; large objects are admitted step by step
+// as priming goes on. Bounds: kMaxPrimedKeys.
 #pragma once
 
 #include <array>
@@ -14,7 +14,6 @@
 #include <optional>
 #include <random>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "base/time.h"
@@ -29,53 +28,73 @@
     std::uint64_t key = 0;       // of the object and part
     double priority_weight = 1;  // of its class
     double size_kb = 0;
-    bool needs_copy = true;  // false: leaves no copy and fills none, as `enrol`
-    bool any_size = false;   // of a process that only stood still: the caches are as warm as they were
+    bool needs_copy = true;  // false: needs no cached copy, and fills none
+    bool any_size = false;   // the caches are as warm as they were: large objects are admitted at once
 };
 
-// What a request that was served took.
-enum class FillSource : std::uint8_t { none, hub, origin };  // origin: by way of a hub, or straight
+// Where the copy of a served request came from.
+enum class FillSource : std::uint8_t {
+    none,    // a cache had it
+    hub,     // a region's cache
+    origin,  // the origin, directly or through a region's cache
+};
 
 class FillBudget {
   public:
-    // Fills a second of all proxies. `worths`: of each class, for the order in which they are turned away.
-    FillBudget(double origin_per_s, double hubs_per_s, std::vector<double> worths, std::uint64_t seed);
+    // Fills a second of all proxies. `priority_weights`: of each class; the lowest is rejected first.
+    FillBudget(double origin_per_s, double hubs_per_s, std::vector<double> priority_weights,
+               std::uint64_t seed);
 
-    // `share`: how many proxies it is divided by. `primed_for`: since the beginning of priming; below 0:
-    // nothing that needs a copy yet. `left`: until serving at the latest.
-    // None: let through. Else when to come back.
-    std::optional<Micros> admit(Micros now, const RequestCost& asked, double share, Micros primed_for,
-                                Micros left);
-    void on_request_finished(std::uint64_t key, FillSource took);
+    // `proxies`: how many the budget is divided by. `primed_for`: since priming began; below 0: nothing that
+    // needs a copy yet. `time_left`: until serving at the latest.
+    // None: admitted. Else when the client may retry.
+    std::optional<Micros> admit(Micros now, const RequestCost& cost, double proxies, Micros primed_for,
+                                Micros time_left);
+    void on_request_finished(std::uint64_t key, FillSource source);
 
-    std::uint64_t admitted() const { return let_through_; }
-    std::uint64_t rejected() const { return turned_away_; }
-    std::uint64_t too_large() const { return too_large_; }  // of those: for the step that they came in
+    std::uint64_t admitted() const { return admitted_; }
+    std::uint64_t rejected() const { return rejected_; }
+    std::uint64_t too_large() const { return too_large_; }  // of the rejected: by their size
 
   private:
+    // A token bucket for one source of fills.
     struct Meter {
-        double per_s = 0, first = 1;  // first: of the part, at the beginning
-        Micros rises = 1;             // until the whole
-        double share = 1;             // of those that ended lately: took a fill of this kind
-        double tokens = 0, bucket = 1;
-        void fill(Micros passed, double part, Micros primed_for);
-        bool bears(double cost, double closed) const;
+        double per_s = 0;
+        double initial_fraction = 1;  // of the rate, when priming begins
+        Micros ramp_duration = 1;     // until the full rate
+        double fill_fraction = 1;     // of recent requests: took a fill from this source
+        double tokens = 0;
+        double capacity = 1;
+        void refill(Micros elapsed, double quota, Micros primed_for);
+        bool can_pay(double cost, double reserved_fraction) const;
+    };
+    struct PrimedKey {
+        Micros at = 0;
+        double cost = 0;                  // 0: settled
+        std::array<double, 2> charged{};  // by meter
     };
-    struct Primed {
+    struct PrimedEvent {
         Micros at = 0;
-        double size = 0;                // 0: settled
-        std::array<double, 2> taken{};  // of each meter
+        std::uint64_t key = 0;
     };
-    bool primed(Micros now, std::uint64_t key);
-    Micros come_back(Micros left);
 
-    std::array<Meter, 2> meters_;  // the origin, the hubs
-    std::vector<double> worths_;
-    std::mt19937_64 chance_;
-    Micros filled_ = -1;
-    std::unordered_map<std::uint64_t, Primed> primed_;  // let through lately
-    std::deque<std::pair<Micros, std::uint64_t>> order_;
-    std::uint64_t let_through_ = 0, turned_away_ = 0, too_large_ = 0;
+    void refill(Micros now, double proxies, Micros primed_for);
+    bool is_primed(Micros now, std::uint64_t key);
+    void renew(Micros now, std::uint64_t key);
+    bool is_too_large(const RequestCost& cost, Micros primed_for) const;
+    double reserved_fraction(double priority_weight) const;
+    std::optional<Micros> reject(Micros time_left);
+    Micros retry_after(Micros time_left);
+
+    std::array<Meter, 2> meters_;  // the origin, the regions' caches
+    std::vector<double> priority_weights_;
+    std::mt19937_64 rng_;
+    Micros last_refill_at_ = -1;
+    std::unordered_map<std::uint64_t, PrimedKey> primed_;  // admitted lately
+    std::deque<PrimedEvent> primed_order_;
+    std::uint64_t admitted_ = 0;
+    std::uint64_t rejected_ = 0;
+    std::uint64_t too_large_ = 0;
 };
 
 }  // namespace sumackeel::recovery
--- a/src/recovery/recovery_phases.cpp
+++ b/src/recovery/recovery_phases.cpp
@@ -1,155 +1,181 @@
 #include "recovery/recovery_phases.h"
 
+#include <algorithm>
 #include <array>
 #include <limits>
+#include <utility>
 
 namespace sumackeel::recovery {
 
 namespace {
 
-constexpr std::array<const char*, 5> kNames{"reading", "asking", "settling", "priming", "serving"};
+constexpr std::array<const char*, 5> kPhaseNames{"reading", "asking", "settling", "priming", "serving"};
 
 }  // namespace
 
-const char* name_of(Phase stage) {
-    return kNames[static_cast<std::size_t>(stage)];
+const char* name_of(Phase phase) {
+    return kPhaseNames[static_cast<std::size_t>(phase)];
 }
 
-bool phase_named(const std::string& name, Phase& stage) {
-    for (std::size_t i = 0; i < kNames.size(); ++i) {
-        if (name != kNames[i]) continue;
-        stage = static_cast<Phase>(i);
-        return true;
-    }
-    return false;
+bool phase_named(const std::string& name, Phase& phase) {
+    const auto found = std::find(kPhaseNames.begin(), kPhaseNames.end(), name);
+    if (found == kPhaseNames.end()) return false;
+    phase = static_cast<Phase>(found - kPhaseNames.begin());
+    return true;
 }
 
 RecoveryPhases::RecoveryPhases(const PhaseOptions& options, Micros now)
-    : options_(options), since_(now), ticked_(now) {}
-
-void RecoveryPhases::enter(Phase stage, Micros now, std::string reason) {
-    phase_ = stage, since_ = now, reason_ = std::move(reason);
-    if (stage == Phase::asking) recovering_.clear(), living_ = false;
-    if (stage == Phase::priming) turned_away_ = now;
-    if (stage >= Phase::priming) paused_ = false;
-}
-
-Micros RecoveryPhases::deadline() const {
-    switch (phase_) {
-        case Phase::reading:
-            return since_ + kReadTimeout;
-        case Phase::asking:
-            return since_ + options_.ask;
-        case Phase::settling:
-            return since_ + options_.settle;
-        case Phase::priming:
-            return since_ + options_.prime;
-        case Phase::serving:
-            break;
-    }
-    return std::numeric_limits<Micros>::max();
-}
-
-std::string RecoveryPhases::waits_for() const {
-    switch (phase_) {
-        case Phase::reading:
-            return "its own files";
-        case Phase::asking:
-            return "an answer of a member that serves";
-        case Phase::settling: {
-            std::string text;
-            const auto add = [&](bool wanted, const std::string& what) {
-                if (wanted) text += (text.empty() ? "" : ", ") + what;
-            };
-
-            add(!listed_, "the list of pop caches");
-            add(options_.elects && !led_, "a leader of the agreed log");
-            return text;
-        }
-        case Phase::priming:
-            return "the budget's end, or nothing turned away";
-        case Phase::serving:
-            break;
-    }
-    return {};
-}
+    : options_(options), since_(now), last_tick_at_(now) {}
 
-// A pause of one's own is the whole fleet's absence too: it is living only with most of it there.
-bool RecoveryPhases::serving_fleet(std::size_t back) const {
-    return phase_ == Phase::serving && most(back);
-}
+// --- Events ---
 
-void RecoveryPhases::on_state_read(Micros now, std::size_t before) {
-    before_ = std::max<std::size_t>(1, before);
-    if (phase_ == Phase::reading) enter(Phase::asking, now, "files read");
+void RecoveryPhases::on_state_read(Micros now, std::size_t members_before) {
+    members_before_ = std::max<std::size_t>(1, members_before);
+    if (phase_ == Phase::reading) enter(Phase::querying, now, "files read");
 }
 
-void RecoveryPhases::on_report(Micros now, const MemberReport& heard) {
-    if (heard.purges_confirmed && heard.phase == Phase::serving) sure_ = true;
-    living_ = living_ || heard.serving_fleet;
-    if (!heard.serving_fleet && heard.phase != Phase::serving && recovering_.size() < kMaxReports)
-        recovering_.insert(heard.from);
-    look(now);
+void RecoveryPhases::on_report(Micros now, const MemberReport& report) {
+    const bool serves = report.phase == Phase::serving;
+    if (report.purges_confirmed && serves) purges_confirmed_ = true;
+    if (report.serving_fleet) found_serving_fleet_ = true;
+    if (!report.serving_fleet && !serves && recovering_members_.size() < kMaxReports)
+        recovering_members_.insert(report.from);
+    advance(now);
 }
 
-void RecoveryPhases::on_member_count(Micros now, std::size_t back) {
-    back_ = std::max<std::size_t>(1, back);
-    before_ = std::max(before_, back_);
-    look(now);
+void RecoveryPhases::on_member_count(Micros now, std::size_t members_back) {
+    members_back_ = std::max<std::size_t>(1, members_back);
+    members_before_ = std::max(members_before_, members_back_);
+    advance(now);
 }
 
 void RecoveryPhases::on_endpoints_confirmed(Micros now) {
-    listed_ = sure_ = true;
-    look(now);
+    endpoints_confirmed_ = true;
+    purges_confirmed_ = true;
+    advance(now);
 }
 
-void RecoveryPhases::on_leader_known(Micros now, bool leader) {
-    led_ = leader;
-    look(now);
+void RecoveryPhases::on_leader_known(Micros now, bool known) {
+    leader_known_ = known;
+    advance(now);
 }
 
-void RecoveryPhases::advance_to(Micros now, Phase stage, const std::string& by) {
+void RecoveryPhases::advance_to(Micros now, Phase phase, const std::string& by) {
     by_ = by;
-    enter(stage, now, "by hand of " + by);
+    enter(phase, now, "by hand of " + by);
 }
 
 void RecoveryPhases::tick(Micros now) {
-    const Micros silent = now - ticked_;
-    ticked_ = now;
-    if (silent > options_.pause && phase_ == Phase::serving) {
+    const Micros gap = now - last_tick_at_;
+    last_tick_at_ = now;
+    if (gap > options_.pause && phase_ == Phase::serving) {
         ++pauses_;
-        listed_ = sure_ = false;
-        paused_ = true;
-        enter(Phase::asking, now, "paused for " + std::to_string(silent / 1'000) + " ms");
+        endpoints_confirmed_ = false;
+        purges_confirmed_ = false;
+        was_paused_ = true;
+        enter(Phase::querying, now, "paused for " + std::to_string(gap / 1'000) + " ms");
     }
-    look(now);
+    advance(now);
 }
 
-void RecoveryPhases::look(Micros now) {
-    const bool late = now >= deadline();
+// --- Transitions ---
+
+void RecoveryPhases::enter(Phase phase, Micros now, std::string reason) {
+    phase_ = phase;
+    since_ = now;
+    reason_ = std::move(reason);
+    if (phase == Phase::querying) {
+        recovering_members_.clear();
+        found_serving_fleet_ = false;
+    }
+    if (phase == Phase::priming) last_rejected_at_ = now;
+    if (phase >= Phase::priming) was_paused_ = false;
+}
+
+// At most one transition an event.
+void RecoveryPhases::advance(Micros now) {
     switch (phase_) {
         case Phase::reading:
-            if (late) enter(Phase::asking, now, "went on without its files");
+            if (is_late(now)) enter(Phase::querying, now, "went on without its files");
             break;
-        case Phase::asking:
-            if (living_) return enter(Phase::serving, now, "the fleet lives");
-            // All others that were there are on the ladder too: nobody is left who could say more.
-            if (recovering_.size() + 1 >= before_ && before_ > 1)
-                return enter(Phase::settling, now, "all are on the ladder");
-            if (late) enter(Phase::settling, now, "nobody serves");
+        case Phase::querying:
+            advance_from_querying(now);
             break;
         case Phase::settling:
-            if (living_) return enter(Phase::serving, now, "the fleet lives");
-            if (waits_for().empty()) return enter(Phase::priming, now, "the list and the bans are known");
-            if (late) enter(Phase::priming, now, "went on without " + waits_for());
+            advance_from_settling(now);
             break;
         case Phase::priming:
-            if (late || now - turned_away_ >= kQuietPeriod)
-                enter(Phase::serving, now, late ? "primed" : "nothing was turned away");
+            advance_from_priming(now);
             break;
         case Phase::serving:
             break;
     }
 }
 
+void RecoveryPhases::advance_from_querying(Micros now) {
+    if (found_serving_fleet_) return enter(Phase::serving, now, "the fleet lives");
+    // All others that were there are recovering, too: no member is left that could serve.
+    if (recovering_members_.size() + 1 >= members_before_ && members_before_ > 1)
+        return enter(Phase::settling, now, "all are on the ladder");
+    if (is_late(now)) enter(Phase::settling, now, "nobody serves");
+}
+
+void RecoveryPhases::advance_from_settling(Micros now) {
+    if (found_serving_fleet_) return enter(Phase::serving, now, "the fleet lives");
+    const std::string missing = waits_for();
+    if (missing.empty()) return enter(Phase::priming, now, "the list and the bans are known");
+    if (is_late(now)) enter(Phase::priming, now, "went on without " + missing);
+}
+
+void RecoveryPhases::advance_from_priming(Micros now) {
+    const bool late = is_late(now);
+    if (late || now - last_rejected_at_ >= kQuietPeriod)
+        enter(Phase::serving, now, late ? "primed" : "nothing was turned away");
+}
+
+// --- State ---
+
+Micros RecoveryPhases::deadline() const {
+    switch (phase_) {
+        case Phase::reading:
+            return since_ + kReadTimeout;
+        case Phase::querying:
+            return since_ + options_.query;
+        case Phase::settling:
+            return since_ + options_.settle;
+        case Phase::priming:
+            return since_ + options_.prime;
+        case Phase::serving:
+            break;
+    }
+    return std::numeric_limits<Micros>::max();
+}
+
+std::string RecoveryPhases::waits_for() const {
+    switch (phase_) {
+        case Phase::reading:
+            return "its own files";
+        case Phase::querying:
+            return "an answer of a member that serves";
+        case Phase::settling: {
+            std::string missing;
+            if (!endpoints_confirmed_) missing = "the list of pop caches";
+            if (options_.elects && !leader_known_)
+                missing += std::string(missing.empty() ? "" : ", ") + "a leader of the agreed log";
+            return missing;
+        }
+        case Phase::priming:
+            return "the budget's end, or nothing turned away";
+        case Phase::serving:
+            break;
+    }
+    return {};
+}
+
+// After a pause of this process alone, the others count as absent as well: the cluster serves only with most
+// of its members.
+bool RecoveryPhases::serving_fleet(std::size_t members_back) const {
+    return phase_ == Phase::serving && 2 * members_back > members_before_;
+}
+
 }  // namespace sumackeel::recovery
--- a/src/recovery_coordinator/recovery_coordinator.cpp
+++ b/src/recovery_coordinator/recovery_coordinator.cpp
@@ -1,15 +1,11 @@
 #include "recovery_coordinator/recovery_coordinator.h"
 
 #include <fmt/format.h>
-#include <json/json.h>
 
 #include <algorithm>
-#include <stdexcept>
+#include <utility>
 
-#include "base/files.h"
-#include "base/json_line.h"
 #include "base/log.h"
-#include "base/msgpack.h"
 #include "base/run_with_timeout.h"
 #include "base/system_error.h"
 
@@ -20,120 +16,106 @@
 
 namespace {
 
-constexpr const char* kVerb = "recovery";
-constexpr const char* kLock = "kept.lock";  // the saved list, in the same folder, has its own
-constexpr int kAnswerVersion = 1;
-constexpr Micros kTick = 50'000, kTickServing = 500'000;
-constexpr Micros kAskEvery = 200'000, kAnswerWithin = 1'000'000;
-constexpr std::size_t kAskAtOnce = 8;
-constexpr Micros kMembersEvery = 10'000'000;  // names of members go to disk this often at most,
-constexpr Micros kServedFor = 30'000'000;     // and only once the fleet has served this long
-constexpr std::size_t kMostPurges = 20'000;   // in one answer
-constexpr double kRises = 3;                  // the budget is whole after a third of priming
-constexpr std::size_t kMostHands = 32;
+constexpr Micros kTickInterval = 50'000, kServingTickInterval = 500'000;
+constexpr Micros kMembersInterval = 10'000'000;     // between two writes of the members' names
+constexpr Micros kMinServingDuration = 30'000'000;  // of the cluster, before its members are persisted
+constexpr Micros kMinCopyAge = 1'000;
+constexpr std::size_t kMaxOperatorCommands = 32;
+constexpr std::uint64_t kBudgetSeedMask = 0x7c15f39cc0605ceeULL;  // apart from the seeds of other modules
 
-}  // namespace
-
-Micros RecoveryCoordinator::steady() {
+Micros steady_now() {
     return static_cast<Micros>(uv_hrtime() / 1000);
 }
 
-RecoveryCoordinator::RecoveryCoordinator(net::Loop& loop, ClusterTransport& peers,
+}  // namespace
+
+RecoveryCoordinator::RecoveryCoordinator(net::Loop& loop, ClusterTransport& transport,
                                          const config::Recovery& setup, bool elects,
-                                         std::vector<double> worths, Micros cleared_within,
+                                         std::vector<double> priority_weights, Micros purge_completes_within,
                                          std::uint64_t seed, Hooks hooks)
     : loop_(loop),
-      peers_(peers),
+      transport_(transport),
       setup_(setup),
-      cleared_within_(cleared_within),
+      purge_completes_within_(purge_completes_within),
       hooks_(std::move(hooks)),
-      folder_(std::make_shared<Folder>(setup.folder)),
-      writes_(loop, "recovery",
-              [folder = folder_](const std::string& packed) { return folder->put(packed); }),
-      phases_({.ask = setup.ask,
+      directory_(std::make_shared<StateDirectory>(setup.folder)),
+      writer_(loop, "recovery",
+              [directory = directory_](const std::string& encoded) { return directory->write(encoded); }),
+      phases_({.query = setup.ask,
                .settle = setup.settle,
                .prime = setup.prime,
                .pause = setup.pause,
                .elects = elects},
-              steady()),
-      budget_(setup.fills_per_s, setup.hub_fills_per_s, std::move(worths), seed ^ 0x7c15f39cc0605ceeULL),
-      unsure_since_(steady()) {
-    read();
-    phases_.on_state_read(steady(), persisted_.members.size());
-    peers_.on_call(kVerb, [this](const std::string&, const std::string&, const std::string&,
-                                 const ClusterTransport::Respond& say) { say(answer()); });
-    log::info("recovery: {}, {} members were there, {} bans and {} kept", name_of(phases_.phase()),
-              phases_.members_before(), persisted_.bans.size(), persisted_.draining ? "a drain" : "no drain");
+              steady_now()),
+      budget_(setup.fills_per_s, setup.hub_fills_per_s, std::move(priority_weights), seed ^ kBudgetSeedMask),
+      poller_(transport,
+              [this](const std::string& from, const RecoveryReply& reply) { on_reply(from, reply); }),
+      unconfirmed_since_(steady_now()) {
+    load();
+    phases_.on_state_read(steady_now(), persisted_.members.size());
+    transport_.on_call(kRecoveryVerb,
+                       [this](const std::string&, const std::string&, const std::string&,
+                              const ClusterTransport::Respond& respond) { respond(encode(reply())); });
+    log::info("recovery: started phase={} members={} bans={} draining={}", name_of(phases_.phase()),
+              phases_.members_before(), persisted_.bans.size(), persisted_.draining);
     tick();
 }
 
 RecoveryCoordinator::~RecoveryCoordinator() {
-    peers_.remove_call_handler(kVerb);
-    if (next_tick_) loop_.timers().cancel(*next_tick_);
-}
-
-void RecoveryCoordinator::read() {
-    auto found = base::run_with_timeout(base::kDirectoryResponseTimeout,
-                                        [folder = folder_] { return folder->read(); });
-    if (!found) found = Found{{}, {folder_->path + ": the folder does not answer"}};
-    for (const std::string& one : found->aside)
-        log::error("recovery: passed over, {}: bans and drains of the last moments may be missing", one);
-    persisted_ = std::move(found->kept);
-    aside_ = std::move(found->aside);
+    transport_.remove_call_handler(kRecoveryVerb);
+    if (tick_timer_) loop_.timers().cancel(*tick_timer_);
 }
 
-// The newest generation that is whole. A damaged one is named and set aside, never passed over without a
-// word.
-RecoveryCoordinator::Found RecoveryCoordinator::Folder::read() {
-    const std::scoped_lock held(in_use);
-    Found found;
-    std::string text, fault;
-    for (const std::uint64_t one : files.generations()) {
-        generation = std::max(generation, one);
-        base::ReadStatus reading{};
-        base::retry_directory_at_startup([&] {
-            reading = base::read_regular_file(files.path_of(one), recovery::kMaxStateBytes, text, fault);
-            return reading == base::ReadStatus::unreadable ? fault : std::string{};
-        });
-        if (reading == base::ReadStatus::ok) fault = recovery::decode(text, found.kept);
-        if (fault.empty()) {
-            good = one;
-            return found;
-        }
-        found.aside.push_back(files.path_of(one) + ": " + fault);
-        if (reading != base::ReadStatus::unreadable) files.quarantine(one);
-        fault.clear();
-    }
-    return found;
-}
+// --- Persisted state ---
 
-// Another process of this proxy writes until it ends; the lock is asked for anew each time.
-std::string RecoveryCoordinator::Folder::put(const std::string& packed) {
-    // Danger: before all generations are known a new one might be numbered below them.
-    const std::unique_lock held(in_use, std::try_to_lock);
-    if (!held) return "what was kept before is still being read";
-    if (!lock || !lock->error().empty()) lock = std::make_unique<base::DirectoryLock>(path, kLock);
-    std::string fault = lock->error();
-    if (fault.empty()) fault = files.write(packed, generation + 1, good);
-    if (fault.empty()) good = ++generation;
-    return fault;
+void RecoveryCoordinator::load() {
+    auto loaded = base::run_with_timeout(base::kDirectoryResponseTimeout,
+                                         [directory = directory_] { return directory->load(); });
+    if (!loaded) loaded = LoadedState{{}, {directory_->path() + ": the folder does not answer"}};
+    for (const std::string& file : loaded->rejected_files)
+        log::error("recovery: state rejected reason={}; the latest bans and drains may be missing", file);
+    persisted_ = std::move(loaded->state);
+    rejected_files_ = std::move(loaded->rejected_files);
 }
 
 void RecoveryCoordinator::write() {
-    writes_.store(recovery::encode(persisted_));
+    writer_.store(recovery::encode(persisted_));
 }
 
 void RecoveryCoordinator::persist(const std::set<std::string>& bans, const std::set<std::string>& leased,
-                                  bool drain) {
-    const bool same = bans == persisted_.bans && leased == persisted_.leased && drain == persisted_.draining;
-    persisted_.bans = bans, persisted_.leased = leased, persisted_.draining = drain;
-    if (!same) write();
+                                  bool draining) {
+    const bool same =
+        bans == persisted_.bans && leased == persisted_.leased && draining == persisted_.draining;
+    if (same) return;
+    persisted_.bans = bans;
+    persisted_.leased = leased;
+    persisted_.draining = draining;
+    write();
+}
+
+// Only a cluster that has served for a while shows who belongs to it: during a second loss of power those
+// from before the first still count.
+void RecoveryCoordinator::persist_members(Micros now) {
+    if (phases_.phase() != Phase::serving || now - phases_.since() < kMinServingDuration ||
+        now - members_persisted_at_ < kMembersInterval)
+        return;
+    members_persisted_at_ = now;
+    std::set<std::string> members{transport_.membership().self().name};
+    for (const cluster::MemberView& member : transport_.membership().members())
+        if (member.state != cluster::State::left && members.size() < recovery::kMaxNames)
+            members.insert(member.record.name);
+    if (members == persisted_.members) return;
+    persisted_.members = std::move(members);
+    write();
 }
 
-void RecoveryCoordinator::follow(Phase before) {
+// --- Phases ---
+
+void RecoveryCoordinator::on_phase_change(Phase before) {
     if (phases_.phase() == before) return;
-    log::info("recovery: {} (was {}): {}", name_of(phases_.phase()), name_of(before), phases_.reason());
-    if (before == Phase::serving) unsure_since_ = steady();  // it was paused
+    log::info("recovery: phase changed from={} to={} reason={}", name_of(before), name_of(phases_.phase()),
+              phases_.reason());
+    if (before == Phase::serving) unconfirmed_since_ = steady_now();  // it was paused
     persisted_.phase = phases_.phase();
     write();
     hooks_.entered(before);
@@ -141,170 +123,97 @@
 
 void RecoveryCoordinator::tick() {
     const Phase before = phases_.phase();
-    const Micros now = steady();
+    const Micros now = steady_now();
     phases_.tick(now);
-    phases_.on_member_count(now, peers_.membership().reachable_count());
-    follow(before);
-    if (phases_.phase() >= Phase::asking && (phases_.phase() < Phase::priming || !phases_.purges_confirmed()))
-        ask();
-    // Only a fleet that has served for a while says who belongs to it: during a second loss those from before
-    // the first still count.
-    if (phases_.phase() == Phase::serving && now - phases_.since() >= kServedFor &&
-        now - members_kept_ >= kMembersEvery) {
-        members_kept_ = now;
-        std::set<std::string> members{peers_.membership().self().name};
-        for (const cluster::MemberView& seen : peers_.membership().members())
-            if (seen.state != cluster::State::left && members.size() < recovery::kMaxNames)
-                members.insert(seen.record.name);
-        if (members != persisted_.members) persisted_.members = std::move(members), write();
-    }
-    next_tick_ = loop_.timers().schedule(
-        loop_.clock().now() + (phases_.phase() == Phase::serving ? kTickServing : kTick), [this] { tick(); });
+    phases_.on_member_count(now, transport_.membership().reachable_count());
+    on_phase_change(before);
+    if (phases_.phase() >= Phase::querying &&
+        (phases_.phase() < Phase::priming || !phases_.purges_confirmed()))
+        poller_.poll(steady_now());
+    persist_members(now);
+    const Micros interval = phases_.phase() == Phase::serving ? kServingTickInterval : kTickInterval;
+    tick_timer_ = loop_.timers().schedule(loop_.clock().now() + interval, [this] { tick(); });
 }
 
-// Some members at a time, one after another.
-void RecoveryCoordinator::ask() {
-    const Micros now = steady();
-    if (now - asked_ < kAskEvery) return;
-    std::vector<std::string> all;
-    for (const cluster::MemberView& seen : peers_.membership().members())
-        if (seen.state == cluster::State::alive || seen.state == cluster::State::suspect ||
-            seen.state == cluster::State::joining)
-            all.push_back(seen.record.name);
-    if (all.empty()) return;
-    asked_ = now;
-    const std::weak_ptr<bool> alive = alive_;
-    for (std::size_t i = 0; i < std::min(all.size(), kAskAtOnce); ++i) {
-        const std::string& name = all[next_++ % all.size()];
-        ++asks_;
-        peers_.call(name, kVerb, {}, kAnswerWithin, [this, alive, name](std::optional<std::string> body) {
-            if (!alive.expired() && body) heard(name, *body);
-        });
-    }
-}
-
-void RecoveryCoordinator::heard(const std::string& from, const std::string& body) try {
-    const base::MsgpackDocument whole = base::parse_msgpack(body, kMostPurges, kMaxCallBytes);
-    base::MsgpackReader at = whole.reader(7);
-    if (at.next<int>() != kAnswerVersion) return;
-    recovery::MemberReport heard;
-    heard.from = from, heard.phase = at.enumeration(Phase::serving);
-    heard.serving_fleet = at.next<bool>(), heard.purges_confirmed = at.next<bool>();
-    at.next<std::uint64_t>(), at.next<std::uint64_t>();
-    std::vector<RecentPurge> purges;
-    for (base::MsgpackReader list = at.list(kMostPurges); list.remaining() > 0;) {
-        base::MsgpackReader one = list.array(3);
-        RecentPurge told;
-        told.object = one.text(64), told.group = one.next<int>();
-        told.age = std::max<Micros>(0, one.next<Micros>()) * 1'000;
-        purges.push_back(std::move(told));
-    }
-    ++answers_;
-    hooks_.learn(purges);  // before it is believed that all are known
+void RecoveryCoordinator::on_endpoints_confirmed() {
     const Phase before = phases_.phase();
-    phases_.on_report(steady(), heard);
-    follow(before);
-} catch (const std::exception& wrong) {
-    log::warn("recovery: an answer of {}: {}", from, wrong.what());
+    phases_.on_endpoints_confirmed(steady_now());
+    on_phase_change(before);
 }
 
-std::string RecoveryCoordinator::answer() const {
-    std::vector<RecentPurge> purges = hooks_.purges();
-    const bool all = purges.size() <= kMostPurges;
-    if (!all) purges.resize(kMostPurges);
-    const bool sure = all && phases_.phase() == Phase::serving && phases_.purges_confirmed() && hooks_.sure();
-    base::MsgpackWriter out;
-    out.array(7).add(kAnswerVersion, static_cast<int>(phases_.phase()),
-                     phases_.serving_fleet(peers_.membership().reachable_count()), sure,
-                     phases_.members_back(), phases_.members_before());
-    out.array(purges.size());
-    for (const RecentPurge& told : purges) out.array(3).add(told.object, told.group, told.age / 1'000);
-    return out.bytes();
+void RecoveryCoordinator::on_leader_known(bool known) {
+    const Phase before = phases_.phase();
+    phases_.on_leader_known(steady_now(), known);
+    on_phase_change(before);
 }
 
-void RecoveryCoordinator::on_endpoints_confirmed() {
+void RecoveryCoordinator::advance_to(Phase phase, const std::string& by) {
     const Phase before = phases_.phase();
-    phases_.on_endpoints_confirmed(steady());
-    follow(before);
+    log::warn("recovery: phase set by operator to={} by={}", name_of(phase), by);
+    if (operator_commands_.size() >= kMaxOperatorCommands)
+        operator_commands_.erase(operator_commands_.begin());
+    operator_commands_.push_back(fmt::format("{} to {} by {}", name_of(before), name_of(phase), by));
+    phases_.advance_to(steady_now(), phase, by);
+    on_phase_change(before);
 }
 
-void RecoveryCoordinator::on_leader_known(bool leader) {
+// --- Other members ---
+
+void RecoveryCoordinator::on_reply(const std::string& from, const RecoveryReply& reply) {
+    hooks_.learn(reply.purges);  // before all purges count as known
     const Phase before = phases_.phase();
-    phases_.on_leader_known(steady(), leader);
-    follow(before);
+    phases_.on_report(steady_now(), {from, reply.phase, reply.serving_fleet, reply.purges_confirmed});
+    on_phase_change(before);
 }
 
-void RecoveryCoordinator::advance_to(Phase stage, const std::string& by) {
-    const Phase before = phases_.phase();
-    log::warn("recovery: {} by hand of {}", name_of(stage), by);
-    if (hands_.size() >= kMostHands) hands_.erase(hands_.begin());
-    hands_.push_back(fmt::format("{} to {} by {}", name_of(before), name_of(stage), by));
-    phases_.advance_to(steady(), stage, by);
-    follow(before);
+RecoveryReply RecoveryCoordinator::reply() const {
+    RecoveryReply reply;
+    reply.purges = hooks_.purges();
+    const bool has_all = reply.purges.size() <= kMaxPurges;
+    if (!has_all) reply.purges.resize(kMaxPurges);
+    reply.phase = phases_.phase();
+    reply.serving_fleet = phases_.serving_fleet(transport_.membership().reachable_count());
+    reply.purges_confirmed =
+        has_all && phases_.phase() == Phase::serving && phases_.purges_confirmed() && hooks_.sure();
+    reply.members_back = phases_.members_back();
+    reply.members_before = phases_.members_before();
+    return reply;
 }
 
-std::optional<Micros> RecoveryCoordinator::admit(const recovery::RequestCost& asked) {
-    const Phase stage = phases_.phase();
-    if (stage == Phase::serving) return std::nullopt;
-    const Micros now = steady();
-    // While it clears up what it missed, one that was only paused goes on with the first part.
-    const Micros primed_for = stage == Phase::priming ? now - phases_.since() : phases_.ready() ? 0 : -1;
-    // Those that were there and are not back are reckoned with in full, then less and less: by then they come
-    // to a fleet that is warm.
+// --- Admission ---
+
+// Members that were there before and are not back count in full at first, then less and less: by then they
+// return to a cluster that is warm.
+double RecoveryCoordinator::budget_proxies(Micros primed_for) const {
     const double back = static_cast<double>(std::max(phases_.members_back(), hooks_.proxies()));
     const double missing = std::max(0.0, static_cast<double>(phases_.members_before()) - back);
-    const double waited =
+    const double primed =
         static_cast<double>(primed_for) / static_cast<double>(std::max<Micros>(1, setup_.prime));
-    const double share = back + missing * std::clamp(2 - 4 * waited, 0.0, 1.0);
-    recovery::RequestCost one = asked;
-    one.any_size = stage != Phase::priming && phases_.ready();
-    const auto away = budget_.admit(now, one, share, primed_for, phases_.deadline() - now);
-    if (away) phases_.on_rejected(now);
-    return away;
-}
-
+    return back + missing * std::clamp(2 - 4 * primed, 0.0, 1.0);
+}
+
+std::optional<Micros> RecoveryCoordinator::admit(const recovery::RequestCost& cost) {
+    if (phases_.phase() == Phase::serving) return std::nullopt;
+    const Micros now = steady_now();
+    // A process that was only paused starts with the first part of the budget while it is not serving again.
+    const bool only_paused = !is_priming() && phases_.ready();
+    const Micros primed_for = is_priming() ? now - phases_.since() : only_paused ? 0 : -1;
+    recovery::RequestCost charged = cost;
+    charged.any_size = only_paused;
+    const auto retry_after =
+        budget_.admit(now, charged, budget_proxies(primed_for), primed_for, phases_.deadline() - now);
+    if (retry_after) phases_.on_rejected(now);
+    return retry_after;
+}
+
+// A serving member reports purges by their ages. Service discovery dates them by its clock, which after a
+// loss of power may be an hour off: until caches have dropped what was purged before, those alone don't
+// suffice.
 Micros RecoveryCoordinator::max_copy_age() const {
-    const Micros since = steady() - unsure_since_;
-    // A member that serves told its purges by their ages. Those of a change log are told by its clock, which
-    // after a loss may be an hour from ours: until boxes have dropped what was purged before, they are not
-    // relied on alone.
-    const bool known =
-        phases_.purges_confirmed() && (phases_.found_serving_fleet() || since >= cleared_within_);
-    return known ? 0 : std::max<Micros>(1'000, since);
-}
-
-std::string RecoveryCoordinator::as_json() const {
-    const Micros now = steady();
-    Json::Value root;
-    root["stage"] = name_of(phases_.phase());
-    root["since_s"] = static_cast<double>(now - phases_.since()) / 1e6;
-    if (phases_.phase() != Phase::serving)
-        root["latest_s"] = static_cast<double>(phases_.deadline() - now) / 1e6;
-    root["waits_for"] = phases_.waits_for(), root["reason"] = phases_.reason();
-    root["ready"] = phases_.ready(), root["sure_of_purges"] = phases_.purges_confirmed();
-    root["back"] = Json::UInt64{phases_.members_back()},
-    root["before"] = Json::UInt64{phases_.members_before()};
-    Json::Value& kept = root["kept"];
-    const std::uint64_t good = folder_->good;
-    kept["file"] = good > 0 ? folder_->files.path_of(good) : "", kept["fault"] = writes_.unwritten_reason();
-    kept["drain"] = persisted_.draining, kept["members"] = Json::UInt64{persisted_.members.size()};
-    kept["bans"] = Json::Value(Json::arrayValue);
-    for (const std::string& ban : persisted_.bans) kept["bans"].append(ban);
-    root["set_aside"] = root["hands"] = Json::Value(Json::arrayValue);
-    for (const std::string& one : aside_) root["set_aside"].append(one);
-    for (const std::string& one : hands_) root["hands"].append(one);
-    Json::Value& counters = root["counters"];
-    const std::pair<const char*, std::uint64_t> all[] = {
-        {"let_through", budget_.admitted()},
-        {"turned_away", budget_.rejected()},
-        {"too_large", budget_.too_large()},
-        {"asks", asks_},
-        {"answers", answers_},
-        {"pauses", phases_.pauses()},
-        {"written", writes_.written()},
-        {"longest_write_us", static_cast<std::uint64_t>(writes_.longest_write())}};
-    for (const auto& [name, value] : all) counters[name] = Json::UInt64{value};
-    return base::to_json_line(root);
+    const Micros unconfirmed_for = steady_now() - unconfirmed_since_;
+    const bool all_purges_known = phases_.purges_confirmed() && (phases_.found_serving_fleet() ||
+                                                                 unconfirmed_for >= purge_completes_within_);
+    return all_purges_known ? 0 : std::max<Micros>(kMinCopyAge, unconfirmed_for);
 }
 
 }  // namespace sumackeel::recovery_coordinator
--- a/src/recovery_coordinator/recovery_coordinator.h
+++ b/src/recovery_coordinator/recovery_coordinator.h
@@ -1,19 +1,15 @@
-// The shell of the way back: asks other members and answers them, keeps what is trusted from before in a
-// folder, and lets the ladder and the budget of src/recovery decide. Off unless the operator's file has
-// [recovery].
+// Runs the recovery of this proxy: polls other members and answers them, persists what is trusted after a
+// restart, and admits requests as the phases and the budget of src/recovery say. Off unless the operator's
+// file has [recovery].
 #pragma once
 
-#include <atomic>
 #include <functional>
 #include <memory>
-#include <mutex>
 #include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
-#include "base/files.h"
-#include "base/generation_files.h"
 #include "cluster_transport/cluster_transport.h"
 #include "config/operator.h"
 #include "net/latest_value_writer.h"
@@ -21,98 +17,79 @@
 #include "recovery/fill_budget.h"
 #include "recovery/persisted_state.h"
 #include "recovery/recovery_phases.h"
+#include "recovery_coordinator/member_poller.h"
+#include "recovery_coordinator/recovery_messages.h"
+#include "recovery_coordinator/state_directory.h"
 
 namespace sumackeel::recovery_coordinator {
 
-using cluster_transport::ClusterTransport;
-using cluster_transport::kMaxCallBytes;
-
 class RecoveryCoordinator {
   public:
-    struct RecentPurge {  // a purge, by its age
-        std::string object;
-        int group = 0;
-        base::Micros age = 0;
-    };
+    using RecentPurge = recovery_coordinator::RecentPurge;
     struct Hooks {
-        std::function<std::vector<RecentPurge>()> purges;            // to tell others
-        std::function<void(const std::vector<RecentPurge>&)> learn;  // told by others
-        std::function<bool()> sure;                                  // the list was confirmed just now
-        std::function<std::size_t()> proxies;                        // as many as are counted
-        std::function<void(recovery::Phase from)> entered;           // another stage
+        std::function<std::vector<RecentPurge>()> purges;            // for the replies to others
+        std::function<void(const std::vector<RecentPurge>&)> learn;  // from the replies of others
+        std::function<bool()> sure;                         // the endpoint list was confirmed just now
+        std::function<std::size_t()> proxies;               // as many as the cluster counts
+        std::function<void(recovery::Phase from)> entered;  // another phase
     };
 
-    // Reads the folder; one that does not answer counts as empty. `elects`: there is an agreed log.
-    // `cleared_within`: after a purge no box has an older copy. ClusterTransport outlive this.
-    RecoveryCoordinator(net::Loop& loop, ClusterTransport& peers, const config::Recovery& setup, bool elects,
-                        std::vector<double> worths, base::Micros cleared_within, std::uint64_t seed,
-                        Hooks hooks);
+    // Reads the folder; one that does not answer counts as empty. `elects`: there is a replicated log.
+    // `purge_completes_within`: after this no cache has an older copy. `transport` outlives this.
+    RecoveryCoordinator(net::Loop& loop, ClusterTransport& transport, const config::Recovery& setup,
+                        bool elects, std::vector<double> priority_weights,
+                        base::Micros purge_completes_within, std::uint64_t seed, Hooks hooks);
     ~RecoveryCoordinator();
     RecoveryCoordinator(const RecoveryCoordinator&) = delete;
     RecoveryCoordinator& operator=(const RecoveryCoordinator&) = delete;
 
     const recovery::PersistedState& persisted() const { return persisted_; }
-    // Goes to disk; where that fails it is logged and tried again until it is there.
-    void persist(const std::set<std::string>& bans, const std::set<std::string>& leased, bool drain);
-    net::LatestValueWriter& writer() { return writes_; }
-    bool disk_busy() const { return writes_.writing(); }
+    // Written in the background; a write that fails is logged and retried until it succeeds.
+    void persist(const std::set<std::string>& bans, const std::set<std::string>& leased, bool draining);
+    net::LatestValueWriter& writer() { return writer_; }
+    bool disk_busy() const { return writer_.writing(); }
     const recovery::RecoveryPhases& phases() const { return phases_; }
     void on_endpoints_confirmed();
-    void on_leader_known(bool leader);
-    void advance_to(recovery::Phase stage, const std::string& by);
+    void on_leader_known(bool known);
+    // By an operator's command.
+    void advance_to(recovery::Phase phase, const std::string& by);
 
-    // None: let through. Else when to come back.
-    std::optional<base::Micros> admit(const recovery::RequestCost& asked);
-    void on_request_finished(std::uint64_t key, recovery::FillSource took) {
-        budget_.on_request_finished(key, took);
+    // None: admitted. Else when the client may retry.
+    std::optional<base::Micros> admit(const recovery::RequestCost& cost);
+    void on_request_finished(std::uint64_t key, recovery::FillSource source) {
+        budget_.on_request_finished(key, source);
     }
-    // The oldest copy that will do, as an age; 0: any.
+    // The greatest age of a copy that may be served; 0: any.
     base::Micros max_copy_age() const;
     std::string as_json() const;
 
   private:
-    void read();
+    void load();
     void write();
     void tick();
-    void ask();
-    void heard(const std::string& from, const std::string& body);
-    std::string answer() const;
-    void follow(recovery::Phase before);
-    static base::Micros steady();
+    void persist_members(base::Micros now);
+    void on_reply(const std::string& from, const RecoveryReply& reply);
+    RecoveryReply reply() const;
+    void on_phase_change(recovery::Phase before);
+    double budget_proxies(base::Micros primed_for) const;
+    bool is_priming() const { return phases_.phase() == recovery::Phase::priming; }
 
     net::Loop& loop_;
-    ClusterTransport& peers_;
+    ClusterTransport& transport_;
     const config::Recovery setup_;
-    const base::Micros cleared_within_;
+    const base::Micros purge_completes_within_;
     Hooks hooks_;
-    struct Found {
-        recovery::PersistedState kept;
-        std::vector<std::string> aside;  // files that can't be used, each with the reason
-    };
-    // The folder's files. One thread at a time: the one that reads at the start, then the writer's.
-    struct Folder {
-        explicit Folder(const std::string& at) : files(at, "kept-", ".sumkept"), path(at) {}
-        base::GenerationFiles files;
-        std::string path;
-        std::mutex in_use;
-        std::unique_ptr<base::DirectoryLock> lock;
-        std::uint64_t generation = 0;
-        std::atomic<std::uint64_t> good = 0;
-        Found read();
-        std::string put(const std::string& packed);
-    };
-    std::shared_ptr<Folder> folder_;
-    net::LatestValueWriter writes_;
+    std::shared_ptr<StateDirectory> directory_;  // shared with the writer's thread
+    net::LatestValueWriter writer_;
     recovery::PersistedState persisted_;
     recovery::RecoveryPhases phases_;
     recovery::FillBudget budget_;
-    base::Micros unsure_since_ = 0, members_kept_ = 0, asked_ = 0;
-    std::size_t next_ = 0;  // whom to ask
-    std::vector<std::string> aside_;
-    std::vector<std::string> hands_;  // operators', the newest last
-    std::uint64_t asks_ = 0, answers_ = 0;
-    std::optional<base::TimerQueue::Key> next_tick_;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+    MemberPoller poller_;
+    base::Micros unconfirmed_since_ = 0;  // purges may have been missed since
+    base::Micros members_persisted_at_ = 0;
+    std::vector<std::string> rejected_files_;
+    std::vector<std::string> operator_commands_;  // the newest last
+    std::optional<base::TimerQueue::Key> tick_timer_;
 };
 
 }  // namespace sumackeel::recovery_coordinator
