--- a/src/consensus/raft_directory.cpp
+++ b/src/consensus/raft_directory.cpp
@@ -68,7 +68,7 @@
 }
 
 std::string RaftDirectory::archive_force_marker(std::int64_t now) const {
-    const std::string archived = fmt::format("{}/{}d-{}", path_, kForceFile, now);
+    std::string archived = fmt::format("{}/{}d-{}", path_, kForceFile, now);
     std::error_code ignored;
     std::filesystem::rename(path_ + '/' + kForceFile, archived, ignored);
     return archived;
--- a/src/consensus/state_view.cpp
+++ b/src/consensus/state_view.cpp
@@ -29,7 +29,7 @@
 }
 
 rollout::RunningVersion StateView::running_version_of(const cluster::MemberRecord& record) const {
-    const rollout::RunningVersion running{record.incarnation.start, record.software_version};
+    rollout::RunningVersion running{record.incarnation.start, record.software_version};
     const rollout::Release* release = state().releases().active();
     if (!release) return running;
     const auto reported = release->reported_versions.find(record.name);
