--- a/tests/fleet/harness/processes.py
+++ b/tests/fleet/harness/processes.py
@@ -131,4 +131,4 @@
         """(seer, member, state) of each change in its log."""
         with open(self.log, encoding="utf-8", errors="replace") as log:
             return [(self.name, *found.groups())
-                    for found in re.finditer(r"group: (\S+) is (\w+) \(was", log.read())]
+                    for found in re.finditer(r"cluster: state_changed member=(\S+) state=(\w+) previous=", log.read())]
--- a/tests/layout/floors_test.sh
+++ b/tests/layout/floors_test.sh
@@ -19,5 +19,5 @@
 try endpoints/a.cpp '#include <fstream>' broken
 try endpoints/a.cpp '#include "base/clock.h"' broken
 try upstream/a.cpp '#include "routing/router.h"' sound
-try upstream/a.cpp '#include "routing/state.h"' broken
+try upstream/a.cpp '#include "routing/target.h"' broken
 mkdir "$work/src/somewhere" && try somewhere/a.h '' broken
