--- a/tests/faults/duties_test.py
+++ b/tests/faults/duties_test.py
@@ -276,7 +276,7 @@
             proxy.ready(READY_WITHIN_S)
         proxy = voters.all[0]
         print(f"ready {proxy.since_start():.2f} s after its start")
-        want("does not answer" in proxy.said(), "it is not said that the folder does not answer")
+        want("consensus: folder not answering folder=" in proxy.said(), "it is not said that the folder does not answer")
         (status, _, took), slowest = served_meanwhile(proxy, lambda: timed_call(proxy, "GET", "/ops/readiness"))
         want(status == 200 and took < ANSWER_WITHIN_S and slowest < SLOW_REQUEST_S, f"{status} in {took:.2f} s, {slowest:.2f} s")
         voters.end(voters.all)
