--- a/include/routing/router.h
+++ b/include/routing/router.h
@@ -1,9 +1,9 @@
-// The interface of the routing library: settings, events, actions, and the Router that turns events into
+// Public interface of the routing library: settings, events, actions, and the Router that turns events into
 // actions.
 //
-// The library is pure: it reads no clock and does no I/O. The caller passes in every event with its time and
-// carries out the actions. Endpoints, requests and timers are named by the caller's names, ids and tokens.
-// All decisions are taken in src/routing.
+// The library is deterministic: it reads no clock and performs no I/O. The caller passes in each event with
+// its timestamp and carries out the resulting actions. Endpoints, requests and timers are identified by the
+// caller's names, ids and tokens. The routing decisions are implemented in src/routing.
 #pragma once
 
 #include <cstdint>
@@ -15,74 +15,74 @@
 
 namespace sumackeel::routing {
 
-// A time or a duration, in microseconds of the caller's clock.
+// A point in time or a duration, in microseconds of the caller's clock.
 using Micros = std::int64_t;
 
-// Whether an attempt that may have run may be repeated.
+// Whether a request may be sent again after an attempt that may have been executed.
 enum class RetrySafety { idempotent, with_idempotency_key, not_idempotent };
 
-// Which caches recognise the idempotency key of a repeated request.
+// Set of caches that share an idempotency key, so that a repeated request is recognized.
 enum class IdempotencyScope { all, zone, cell };
 
-// Which caches may be the source of another cache's fill.
+// Which sibling caches may serve as the source of a fill.
 enum class SiblingFill { none, own_zone, any };
 
-// Which cache statuses a finished attempt carries.
+// Which cache statuses the site reports with a finished attempt.
 enum class CacheStatusDetail { none, hits, all };
 
 // When endpoints report their load.
 enum class LoadReporting { none, with_responses, on_health_check };
 
-// How well Endpoint::weight states the capacity.
+// How accurately Endpoint::weight reflects the endpoint's capacity.
 enum class WeightQuality { none, nominal, rough, live };
 
-// Settings of one class of requests.
+// Settings of one request class.
 struct ClassSettings {
-    Micros latency_objective = 0;          // a response within this and the stretch has its full value
-    double latency_objective_stretch = 0;  // times the request's own transfer time, added to the objective
-    Micros deadline = 0;                   // after which the client gives up
-    double late_value = 0;                 // fraction of the value of a response past the objective
-    double priority_weight = 1;            // value of a response in time
+    Micros latency_objective = 0;          // responses within this plus the stretch have full value
+    double latency_objective_stretch = 0;  // multiple of the request's transfer time added to the objective
+    Micros deadline = 0;                   // after this the client gives up
+    double late_value = 0;                 // fraction of the value left for a response after the objective
+    double priority_weight = 1;            // value of a response within the objective
     RetrySafety retry_safety = RetrySafety::idempotent;
     IdempotencyScope idempotency_scope = IdempotencyScope::all;
     Micros idempotency_window = 0;  // how long caches remember an idempotency key
-    bool streaming = false;         // responses are passed on as they arrive
+    bool streaming = false;         // responses are forwarded to the client as they arrive
     Micros freshness_lifetime = 0;  // 0: no limit
-    Micros stale_grace = 0;         // how long past its freshness lifetime a copy may be served
-    double stale_value = 1;         // fraction of the value of a stale response
+    Micros stale_grace = 0;         // how long after its freshness lifetime a copy may be served
+    double stale_value = 1;         // value of a stale response as a fraction of a fresh one
     bool chunked = false;           // objects are requested in parts
-    bool uncacheable = false;       // runs at the origin, leaves no copy
+    bool uncacheable = false;       // executed at the origin, not cached
 };
 
-// Settings of one router; they stay as they are but for the cluster's size.
+// Settings of one router. Constant except for the cluster size, see ClusterSizeChanged.
 struct Settings {
     std::vector<ClassSettings> classes;
     int instance_count = 1;                        // routers in the cluster
-    int instance_index = 0;                        // of this one, from 0
-    int own_zone = 0;                              // index; below 0: every cache counts as of the own zone
+    int instance_index = 0;                        // index of this router, from 0
+    int own_zone = 0;                              // negative: treat every cache as part of the own zone
     std::vector<int> instances_by_zone;            // routers in each zone
-    std::vector<int> region_by_zone;               // position of each zone's region in a ring
+    std::vector<int> region_by_zone;               // position of each zone's region on a ring
     std::vector<double> ingress_kb_per_s_by_zone;  // capacity of each zone's ingress link
-    int parent_kind = -1;                          // of Endpoint::kind; -1: no parents
-    int origin_kind = -1;                          // of Endpoint::kind; -1: no origin
-    double transfer_rate_kb_per_s = 0;             // full rate of one response; the unit of weights
-    bool coalescing_allowed = false;               // caches let a request share a fill under way
-    bool cache_bypass_allowed = false;  // a parent or the origin may answer while no cache is admitted
+    int parent_kind = -1;                          // Endpoint::kind of parents; -1: no parents
+    int origin_kind = -1;                          // Endpoint::kind of the origin; -1: no origin
+    double transfer_rate_kb_per_s = 0;             // full rate of a single response; the unit of weights
+    bool coalescing_allowed = false;               // caches can attach a request to a fill in progress
+    bool cache_bypass_allowed = false;  // a parent or the origin may respond while no cache is admitted
     SiblingFill sibling_fill = SiblingFill::none;
     CacheStatusDetail cache_status_detail = CacheStatusDetail::none;
     WeightQuality weight_quality = WeightQuality::none;
     LoadReporting load_reporting = LoadReporting::none;
-    bool endpoints_on_request = false;  // endpoint lists come only after WatchEndpoints
+    bool endpoints_on_request = false;  // endpoint lists are sent only after WatchEndpoints
     Micros notification_grace = 0;
-    Micros purge_completes_within = 0;  // until caches have obeyed a purge
+    Micros purge_completes_within = 0;  // time until all caches have applied a purge
     Micros response_slack = 0;
     Micros poll_within = 0;
     Micros drain_grace = 0;
-    double cold_capacity_fraction = 1;  // of a cache's weight right after its start
-    Micros warm_up_duration = 0;        // until a cache has its full weight
-    double cold_overload_multiple = 0;  // of a cold cache's capacity, at which it fails; 0: no bound
-    Micros overload_window = 0;         // over which that multiple is taken
-    double parent_cold_fraction = 1;    // the same three of parents
+    double cold_capacity_fraction = 1;  // capacity of a cache right after its start, relative to its weight
+    Micros warm_up_duration = 0;        // time until a cache reaches its full weight
+    double cold_overload_multiple = 0;  // multiple of a cold cache's capacity at which it fails; 0: no limit
+    Micros overload_window = 0;         // interval over which that load is measured
+    double parent_cold_fraction = 1;    // the same three settings for parents
     Micros parent_slow_start = 0;
     double parent_overload_multiple = 0;
     double origin_overload_multiple = 0;
@@ -93,33 +93,33 @@
     bool hedging_allowed = false;
     bool retry_after_allowed = false;
     Micros max_retry_after = 0;  // upper bound of Reject::retry_after
-    int max_attempts = 1;        // of one request, with the first
+    int max_attempts = 1;        // per request, including the first
     int max_in_flight = 0;
     Micros connect_timeout = 0;
     Micros tick = 0;
     double wasted_work_cost = 0;
     double late_failure_cost = 0;
-    // Requests a second that may go straight to the origin while no cache and no parent may be used; requests
-    // that run there anyway are not counted. 0: none, they are rejected.
+    // Rate limit for cacheable requests sent directly to the origin while no cache and no parent is ready.
+    // Uncacheable requests do not count against it. 0: these requests are rejected.
     double origin_only_requests_per_s = 0;
 };
 
 enum class EndpointState { ready, draining, removed };
 
-// incremental: a difference; snapshot: a full list from disk; failed: there is no list.
+// incremental: changes only; snapshot: a full list loaded from disk; failed: no list is available.
 enum class EndpointUpdateKind { incremental, full, snapshot, failed };
 
 // A cache, a parent or the origin.
 struct Endpoint {
     std::string name;
-    double weight = 1;  // transfers at full rate that it can serve at once
+    double weight = 1;  // number of concurrent transfers at full rate
     EndpointState state = EndpointState::ready;
     int zone = -1;           // index; -1: unknown
-    Micros started_at = 0;   // when it last started; 0: long ago
-    int kind = -1;           // see Settings::parent_kind; -1: a cache
+    Micros started_at = 0;   // time of its last start; 0: long ago
+    int kind = -1;           // see Settings::parent_kind and origin_kind; -1: a cache
     std::int64_t cell = -1;  // group of caches that share idempotency keys
-    // Known from an old list alone, so it may have restarted unnoticed. It gets what an endpoint gets that
-    // starts at this moment, and warms up only from its first response on. `started_at` is ignored.
+    // Known only from an old list, so it may have restarted since. It is treated as cold, and its slow start
+    // begins with its first response. `started_at` is ignored.
     bool unverified = false;
 };
 
@@ -136,7 +136,7 @@
     not_found
 };
 
-// Where a response came from, or why its fill failed, as far as the site reports it.
+// Source of a response, or the reason why its fill failed, as far as the site reports it.
 enum class CacheStatus {
     unknown,
     hit,
@@ -151,38 +151,39 @@
     origin_failed
 };
 
-// A cache's own report of its load; below 0: not reported.
+// Load reported by a cache; negative values: not reported.
 struct LoadReport {
-    double in_flight = -1;  // requests that it serves
+    double in_flight = -1;  // requests being served
     double ingress_utilization =
-        -1;  // transfers on its zone's ingress link, over those that fit at full rate
+        -1;  // transfers on its zone's ingress link over the link's capacity at full rate
 };
 
 // ---- Events ----
 
-// An endpoint list in full or in part.
+// A full or incremental endpoint list.
 struct EndpointUpdate {
     std::int64_t version = 0;
     EndpointUpdateKind kind = EndpointUpdateKind::full;
     std::vector<Endpoint> endpoints;
 };
 
-// A client's request; it gets exactly one final answer.
+// A request from a client. It gets exactly one final response.
 struct RequestReceived {
-    std::string id;       // unique among the requests at hand
-    int class_index = 0;  // in Settings::classes
+    std::string id;       // unique among the open requests
+    int class_index = 0;  // index in Settings::classes
     int tenant = -1;
-    std::string object;                                       // empty: any cache may look it up
-    Micros time_left = 0;                                     // until the client gives up
-    Micros shutdown_in = std::numeric_limits<Micros>::max();  // until this process ends, where that is near
-    double size_kb = 0;                                       // of the response; 0: unknown
+    std::string object;    // empty: any cache can handle it as a lookup
+    Micros time_left = 0;  // until the client gives up
+    Micros shutdown_in =
+        std::numeric_limits<Micros>::max();  // until this process exits, if it is shutting down
+    double size_kb = 0;                      // size of the response; 0: unknown
     int purge_group = 0;
-    int part = 0;  // of the object
+    int part = 0;  // part of the object
     bool client_retry = false;
     bool write = false;
 };
 
-// The client no longer waits; the request is over.
+// The client no longer waits for a response; the request is finished.
 struct ClientCancelled {
     std::string id;
 };
@@ -192,7 +193,7 @@
     std::string bytes;
 };
 
-// A timer of SetTimer is due.
+// A timer requested with SetTimer has expired.
 struct TimerExpired {
     std::uint64_t token = 0;
 };
@@ -204,7 +205,7 @@
     LoadReport load;
 };
 
-// The response is being passed on to the client.
+// The response is now being forwarded to the client.
 struct ResponseStarted {
     std::string id;
     std::string endpoint;
@@ -214,30 +215,30 @@
 
 struct AttemptFinished {
     std::string id;
-    int attempt = 0;  // of the request, from 0 in the order of the actions
+    int attempt = 0;  // number of the attempt within the request, from 0 in the order of the actions
     std::string endpoint;
     AttemptStatus status = AttemptStatus::served;
     Micros elapsed = 0;
-    bool request_finished = false;  // the request needs no further answer
+    bool request_finished = false;  // the request needs no further response
     CacheStatus cache_status = CacheStatus::unknown;
-    Micros time_to_first_byte = 0;  // of the source, or until the fill failed; 0: not reported
+    Micros time_to_first_byte = 0;  // from the source, or time until the fill failed; 0: not reported
     LoadReport load;
 };
 
-// Copies from before it may not be served.
+// Copies filled before the purge may no longer be served.
 struct Purge {
     int purge_group = 0;
-    Micros age = 0;      // since it was issued
-    std::string object;  // empty: the whole group
+    Micros age = 0;      // time since it was issued
+    std::string object;  // empty: the whole purge group
 };
 
-// How many routers there are now, for the bounds that they keep together.
+// Current number of routers, for the limits that they share.
 struct ClusterSizeChanged {
     int instance_count = 1;
-    std::vector<int> instances_by_zone;  // in each zone
+    std::vector<int> instances_by_zone;  // routers in each zone
 };
 
-// This process itself stood still for so long until now; endpoints are not blamed for that time.
+// This process was not scheduled for `duration` until now. The time is not attributed to endpoints.
 struct ProcessStalled {
     Micros duration = 0;
 };
@@ -260,13 +261,13 @@
     std::string id;
     Micros timeout = 0;
     std::string endpoint;
-    Micros max_age = 0;                  // of a copy; 0: the class's freshness lifetime
-    bool coalesce = false;               // may share a fill under way
-    bool source_cached_only = false;     // the source gives only what it has cached
-    bool parent_bypasses_cache = false;  // the parent keeps no copy
-    bool revalidate = false;             // the cache revalidates an ageing copy while serving it
-    std::string source = {};             // of a fill; the endpoint itself: no fill
-    int cache_priority = 0;              // of the copy: 0 not kept, 1 requested once, 2 more often
+    Micros max_age = 0;                  // oldest acceptable copy; 0: the class's freshness lifetime
+    bool coalesce = false;               // the cache may attach the request to a fill in progress
+    bool source_cached_only = false;     // the source responds only from its cache
+    bool parent_bypasses_cache = false;  // the parent stores no copy
+    bool revalidate = false;             // the cache may serve an aging copy while revalidating it
+    std::string source = {};             // source of a fill; the endpoint itself: no fill
+    int cache_priority = 0;  // of the copy: 0 not stored, 1 requested once, 2 requested more often
 };
 
 struct SetTimer {
@@ -274,13 +275,13 @@
     std::uint64_t token = 0;
 };
 
-// The final answer: nothing ran, or a repeat is harmless.
+// Final response: nothing was executed, or the client can safely repeat the request.
 struct Reject {
     std::string id;
-    Micros retry_after = 0;  // 0: no advice
+    Micros retry_after = 0;  // 0: no Retry-After
 };
 
-// The final answer: the request may have run.
+// Final response: the request may have been executed.
 struct Fail {
     std::string id;
 };
@@ -318,8 +319,9 @@
 using Action = std::variant<Lookup, Forward, SetTimer, Reject, Fail, Cancel, SendGossip, WatchEndpoints,
                             PollEndpoints, SendHealthCheck, CloseIdleConnections, LogMessage>;
 
-// One router. Event time is its only clock, and all randomness comes from the seed: the same events give the
-// same actions. Not thread-safe. Actions refer to endpoints by name and own their strings.
+// Takes the routing decisions of one process. Event timestamps are its only clock and all random numbers
+// derive from the seed, so the same events give the same actions. Not thread-safe. Actions refer to endpoints
+// by name and own their strings.
 class Router {
   public:
     Router(const Settings& settings, std::uint64_t seed);
@@ -329,7 +331,7 @@
     Router(const Router&) = delete;
     Router& operator=(const Router&) = delete;
 
-    // Appends to `actions` what is to be done about `event`. `now` may not be less than at the last event.
+    // Processes `event` and appends the resulting actions. `now` must not decrease between calls.
     void handle(Micros now, const Event& event, std::vector<Action>& actions);
 
   private:
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -1,4 +1,4 @@
-// Admission and load shedding: whether a request is worth an attempt, and how it ends without one.
+// Admission control and load shedding: decides whether to send an attempt, and ends requests that get none.
 #pragma once
 
 #include "routing/latency_prediction.h"
@@ -11,12 +11,13 @@
     Admission(DecisionContext& context, LoadEstimate& load, LatencyPrediction& latency)
         : context_(context), load_(load), latency_(latency) {}
 
-    // Whether to reject the request rather than carry out the plan. Under overload a late response delays
-    // others, which are worth more.
+    // Whether to reject the request instead of executing the plan. Under overload, a response that would be
+    // late anyway delays more valuable ones.
     bool should_shed(const Request& request, const RoutePlan& plan);
 
-    // Emits the request's final answer: rejected with Retry-After where it surely did not run, else failed.
-    // At once, as waiting would only hide the failure from the client.
+    // Emits the final response: a rejection with Retry-After if the request was certainly not executed or may
+    // safely be repeated, otherwise a failure. Sent immediately, since a delay would only hide the failure
+    // from the client.
     void refuse(const Request& request);
 
   private:
--- a/src/routing/attempts.cpp
+++ b/src/routing/attempts.cpp
@@ -44,7 +44,7 @@
     Forward action = forward(request, plan);
     if (copy) {
         set_cache_control(action, request, plan, *copy);
-        reach_origin(action, plan, attempt);
+        reserve_origin_turn(action, plan, attempt);
     }
     context_.emit(std::move(action));
 }
@@ -55,7 +55,7 @@
     const int number = static_cast<int>(request.attempts.size());
     request.attempts.push_back(
         {.cache = &cache, .source = source, .sent_at = context_.now, .accepts_stale = plan.accepts_stale});
-    load_.settle(cache);
+    load_.advance_to_now(cache);
     InFlightAttempt& attempt = in_flight_[attempt_key(request.arrival.id, number)];
     attempt = {.cache = &cache, .source = source, .sent_at = context_.now};
     attempt.service_clock_at_start = cache.service_clock;
@@ -87,8 +87,9 @@
     const bool repeated = copy.request_count > 1;
     action.max_age = purges_.max_age(request, plan.accepts_stale);
     action.coalesce = plan.coalesce;
-    // With the origin down every fill would wait at the parent and fail there, in places that hits need. What
-    // the parent has cached it still gives; the rest comes back at once as missing.
+    // While the origin is unavailable, fills would wait at the parent until they fail and occupy capacity
+    // that hits need. With this flag the parent serves what it has cached and reports the rest as missing at
+    // once.
     action.source_cached_only = fills_via_parent(plan) && origin_throttle_.is_blocked();
     action.revalidate = class_of(context_.settings, request).freshness_lifetime > 0 && repeated;
     if (plan.cache->role != Role::cache)
@@ -97,8 +98,8 @@
         action.cache_priority = repeated ? kPriorityRepeated : kPriorityFirstRequest;
 }
 
-// Takes the origin's turn, and its breaker's trial, for a fill that may reach it.
-void Attempts::reach_origin(const Forward& action, const RoutePlan& plan, InFlightAttempt& attempt) {
+// For a fill that may reach the origin, takes the throttle's turn and, if due, the breaker's trial attempt.
+void Attempts::reserve_origin_turn(const Forward& action, const RoutePlan& plan, InFlightAttempt& attempt) {
     Target* const origin = endpoints_.origin();
     if (!origin) return;
     const bool via_parent = fills_via_parent(plan) && !action.source_cached_only;
@@ -112,7 +113,7 @@
     const auto found = in_flight_.find(attempt_key(result.id, result.attempt));
     if (found == in_flight_.end()) return;
     Target* const origin = endpoints_.origin();
-    load_.settle(*found->second.cache);
+    load_.advance_to_now(*found->second.cache);
     load_.record_report(*found->second.cache, result.load);
     load_.remove(found->second);
     const InFlightAttempt attempt = found->second;
--- a/src/routing/attempts.h
+++ b/src/routing/attempts.h
@@ -1,4 +1,4 @@
-// Attempts: sends one as planned, and passes its result on to the modules that learn from it.
+// Attempts: sends attempts as planned and reports their results to the modules that track endpoints.
 #pragma once
 
 #include <string>
@@ -20,14 +20,14 @@
     Attempts(const Attempts&) = delete;
     Attempts& operator=(const Attempts&) = delete;
 
-    // Emits the action for the plan and counts the attempt; `copy` is null for a request that is not
+    // Emits the action for the plan and records the attempt. `copy` is null for requests that are not
     // cacheable.
     void send(Request& request, const RoutePlan& plan, const CachedCopy* copy);
 
-    // An attempt ended; it may belong to a request that is over.
+    // Processes the end of an attempt; its request may already be finished.
     void finish(const AttemptFinished& result);
 
-    // Judges attempts in flight as if this process had not stood still.
+    // Excludes a stall of this process from the elapsed time of attempts in flight.
     void skip_stall(Micros duration);
 
   private:
@@ -35,7 +35,7 @@
     Forward forward(const Request& request, const RoutePlan& plan) const;
     void set_cache_control(Forward& action, const Request& request, const RoutePlan& plan,
                            const CachedCopy& copy) const;
-    void reach_origin(const Forward& action, const RoutePlan& plan, InFlightAttempt& attempt);
+    void reserve_origin_turn(const Forward& action, const RoutePlan& plan, InFlightAttempt& attempt);
 
     DecisionContext& context_;
     EndpointTable& endpoints_;
@@ -47,7 +47,7 @@
     OutlierDetection& outliers_;
     LoadEstimate& load_;
     LatencyPrediction& latency_;
-    std::unordered_map<std::string, InFlightAttempt> in_flight_;  // also of requests that are over
+    std::unordered_map<std::string, InFlightAttempt> in_flight_;  // including attempts of finished requests
 };
 
 }  // namespace sumackeel::routing
--- a/src/routing/bounded_map.h
+++ b/src/routing/bounded_map.h
@@ -1,4 +1,4 @@
-// A map that holds at most a given number of entries and forgets the one touched longest ago first.
+// Map with a maximum number of entries that evicts the least recently touched one.
 #pragma once
 
 #include <cstddef>
@@ -11,48 +11,48 @@
 template <typename Key, typename Value>
 class BoundedMap {
   public:
-    explicit BoundedMap(std::size_t most) : most_(most) {}
+    explicit BoundedMap(std::size_t capacity) : capacity_(capacity) {}
 
     Value* find(const Key& key) {
-        auto found = places_.find(key);
-        return found == places_.end() ? nullptr : &found->second->second;
+        auto found = index_.find(key);
+        return found == index_.end() ? nullptr : &found->second->second;
     }
 
     const Value* find(const Key& key) const {
-        auto found = places_.find(key);
-        return found == places_.end() ? nullptr : &found->second->second;
+        auto found = index_.find(key);
+        return found == index_.end() ? nullptr : &found->second->second;
     }
 
-    // Finds or makes the entry and moves it to the end that is forgotten last.
+    // Finds or creates the entry and marks it as the most recently touched.
     Value& touch(const Key& key) {
-        auto found = places_.find(key);
-        if (found != places_.end()) {
-            order_.splice(order_.end(), order_, found->second);
+        auto found = index_.find(key);
+        if (found != index_.end()) {
+            entries_.splice(entries_.end(), entries_, found->second);
             return found->second->second;
         }
-        if (places_.size() >= most_) forget_oldest();
-        order_.emplace_back(key, Value{});
-        places_[key] = std::prev(order_.end());
-        return order_.back().second;
+        if (index_.size() >= capacity_) evict_oldest();
+        entries_.emplace_back(key, Value{});
+        index_[key] = std::prev(entries_.end());
+        return entries_.back().second;
     }
 
-    // Forgets from the longest untouched on, as long as `is_old` says so.
-    template <typename IsOld>
-    void sweep(IsOld is_old) {
-        while (!order_.empty() && is_old(order_.front().second)) forget_oldest();
+    // Evicts entries, least recently touched first, until `is_expired` returns false.
+    template <typename IsExpired>
+    void sweep(IsExpired is_expired) {
+        while (!entries_.empty() && is_expired(entries_.front().second)) evict_oldest();
     }
 
-    std::size_t size() const { return places_.size(); }
+    std::size_t size() const { return index_.size(); }
 
   private:
-    void forget_oldest() {
-        places_.erase(order_.front().first);
-        order_.pop_front();
+    void evict_oldest() {
+        index_.erase(entries_.front().first);
+        entries_.pop_front();
     }
 
-    std::size_t most_;
-    std::list<std::pair<Key, Value>> order_;
-    std::unordered_map<Key, typename std::list<std::pair<Key, Value>>::iterator> places_;
+    std::size_t capacity_;
+    std::list<std::pair<Key, Value>> entries_;
+    std::unordered_map<Key, typename std::list<std::pair<Key, Value>>::iterator> index_;
 };
 
 }  // namespace sumackeel::routing
--- a/src/routing/cache_bypass.cpp
+++ b/src/routing/cache_bypass.cpp
@@ -24,8 +24,8 @@
     if (!is_cacheable(settings, request)) return {};
     Target* parent = fill_source_.choose(request, nullptr, *origin, FillExpectation::likely);
     if (parent->role != Role::parent || !eligibility_.can_serve(*parent, request)) return {};
-    // An origin that drains or was removed may not be named, as a source either; the parent still gives what
-    // it has cached.
+    // A draining or removed origin must not be used, not even as a source. The parent can still serve what it
+    // has cached.
     const bool origin_ready = endpoints_.is_origin_ready();
     RoutePlan plan{.cache = parent, .source = origin_ready ? origin : parent, .fill = origin_ready};
     plan.expected_time = latency_.predict(request, *parent, origin_ready ? origin : nullptr, FillKind::full);
@@ -33,8 +33,8 @@
     return in_time ? plan : RoutePlan{};
 }
 
-// While the endpoint list is too old to use, only the origin's address is sure. All reads of a zone are far
-// more than it can take: classes that run there in any case come first, reads share a small quota.
+// While the endpoint list is too old to use, only the origin's address is reliable. The origin cannot serve
+// all reads of a zone, so uncacheable requests are sent without limit and reads share a small quota.
 RoutePlan CacheBypass::origin_only(const Request& request) {
     Target& origin = *endpoints_.origin();
     if (!breaker_.admits(origin) || !eligibility_.can_serve(origin, request)) return {};
--- a/src/routing/cache_bypass.h
+++ b/src/routing/cache_bypass.h
@@ -1,5 +1,5 @@
-// Cache bypass: where the site allows it, a parent or the origin answers while no cache of the zone is
-// admitted. No copy is kept, so a bypass ends as soon as one cache takes its trial.
+// Cache bypass: if the site allows it, a parent or the origin responds while no cache of the zone is
+// admitted. No copy is stored, so the bypass ends as soon as a cache is due for a trial attempt.
 #pragma once
 
 #include "routing/fill_source.h"
@@ -12,8 +12,8 @@
                 const Eligibility& eligibility, const CircuitBreaker& breaker, FillSource& fill_source,
                 LatencyPrediction& latency);
 
-    // The plan without a cache; its cache is null where there is none in time. Counts against the origin's
-    // quota.
+    // Returns the plan that bypasses the caches; its `cache` is null if no endpoint can respond in time.
+    // Counts against the origin quota.
     RoutePlan choose(const Request& request);
 
   private:
@@ -26,7 +26,7 @@
     const CircuitBreaker& breaker_;
     FillSource& fill_source_;
     LatencyPrediction& latency_;
-    DecayedMean origin_quota_;  // requests that may still go to the origin, as of `at`
+    DecayedMean origin_quota_;  // tokens left in the origin's rate limit, as of `at`
 };
 
 }  // namespace sumackeel::routing
--- a/src/routing/cache_ranking.h
+++ b/src/routing/cache_ranking.h
@@ -1,4 +1,4 @@
-// Caches in the order of their scores for one request, sorted only as far as the order is read.
+// Caches ordered by descending score for one request. Sorted lazily, only as far as it is read.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
     std::size_t size() const { return entries_.size() + (front_ ? 1 : 0); }
     bool empty() const { return size() == 0; }
 
-    // The cache with the highest score but `index`; `index` is below size().
+    // The cache at position `index` in descending score order; requires `index` < size().
     Target* at(std::size_t index) {
         if (front_ && index == 0) return front_;
         if (front_) --index;
@@ -25,7 +25,7 @@
 
     bool contains(const Target* target) const { return target && find(target) != entries_.end(); }
 
-    // Puts a contained target first, whatever its score.
+    // Moves a target to the first position regardless of its score; requires contains(target).
     void move_to_front(Target* target) {
         const auto found = find(target);
         if (found - entries_.begin() < static_cast<std::ptrdiff_t>(sorted_)) --sorted_;
@@ -38,14 +38,14 @@
         double score;
         Target* target;
     };
-    static constexpr std::size_t kFirstSorted = 4;  // most requests read no further
+    static constexpr std::size_t kInitialSortedCount = 4;  // most requests read no more entries than this
 
     std::vector<Entry>::const_iterator find(const Target* target) const {
         return std::ranges::find(entries_, target, &Entry::target);
     }
 
     void sort_more() {
-        const std::size_t next = std::min(entries_.size(), std::max(kFirstSorted, 2 * sorted_));
+        const std::size_t next = std::min(entries_.size(), std::max(kInitialSortedCount, 2 * sorted_));
         const auto begin = entries_.begin();
         std::partial_sort(begin + static_cast<std::ptrdiff_t>(sorted_),
                           begin + static_cast<std::ptrdiff_t>(next), entries_.end(),
@@ -54,7 +54,7 @@
     }
 
     std::vector<Entry> entries_;
-    std::size_t sorted_ = 0;  // number of leading entries that are in order
+    std::size_t sorted_ = 0;  // number of leading entries already sorted
     Target* front_ = nullptr;
 };
 
--- a/src/routing/cache_selection.h
+++ b/src/routing/cache_selection.h
@@ -1,5 +1,6 @@
-// Cache selection: ranks the zone's caches for a request by weighted rendezvous hashing and takes the home by
-// hash while it can answer in time, else the next that can, else the soonest.
+// Cache selection: ranks the zone's caches for a request by weighted rendezvous hashing. Selects the home
+// cache (the first in the ranking) if it can respond in time, otherwise the next one that can, otherwise the
+// fastest.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +17,8 @@
                    const FillCoalescing& fills, FillSource& fill_source, LoadEstimate& load,
                    LatencyPrediction& latency);
 
-    // The plan for the next attempt; its cache is null where none may be used. `copy` is null for a request
-    // that is not cacheable; `shared`: there is a fill under way that the request can share.
+    // Returns the plan for the next attempt; its `cache` is null if no cache may be used. `copy` is null for
+    // requests that are not cacheable. `shared`: a fill that the request can share is in progress.
     RoutePlan choose(const Request& request, const CachedCopy* copy, bool shared);
 
   private:
--- a/src/routing/circuit_breaker.cpp
+++ b/src/routing/circuit_breaker.cpp
@@ -5,9 +5,9 @@
 namespace sumackeel::routing {
 namespace {
 
-constexpr double kFailureGain = 0.25;     // weight of the newest result in the failure rate
-constexpr double kOpenThreshold = 0.45;   // failure rate
-constexpr Micros kRecoverySuccesses = 8;  // successes that reduce most of the backoff
+constexpr double kFailureGain = 0.25;     // weight of the latest result in the failure rate
+constexpr double kOpenThreshold = 0.45;   // failure rate at which a closed breaker opens
+constexpr Micros kRecoverySuccesses = 8;  // number of successes after which most of the backoff is gone
 constexpr Micros kMinOpenDuration = 1 * kSecond;
 constexpr Micros kMaxOpenDuration = 8 * kSecond;
 
--- a/src/routing/circuit_breaker.h
+++ b/src/routing/circuit_breaker.h
@@ -1,8 +1,8 @@
-// Circuit breaker: ejects a target that fails often, and lets single trial attempts decide when it returns.
+// Circuit breaker: ejects a target that fails often; single trial attempts decide when it is readmitted.
 //
 //   closed --failures--> open --a trial is sent--> half open --success--> closed
 //                          ^                           |
-//                          +---- failure, longer ------+   (or back to open where the trial showed nothing)
+//                          +---- failure, longer ------+   (or open again if the trial was inconclusive)
 #pragma once
 
 #include "routing/endpoint_table.h"
@@ -14,7 +14,7 @@
     CircuitBreaker(DecisionContext& context, EndpointTable& endpoints)
         : context_(context), endpoints_(endpoints) {}
 
-    // Whether the target may get an attempt: its breaker is closed, or a trial is due.
+    // Whether the target may receive an attempt: its breaker is closed, or a trial is due.
     bool admits(const Target& target) const {
         const Health& health = target.health;
         return health.breaker == BreakerState::closed ||
@@ -24,10 +24,11 @@
     void on_attempt_sent(Target& target);
     void on_success(Target& target);
 
-    // `weight`: how much of a failure it is; 1 for one that is surely the target's.
+    // `weight` is the degree to which the failure is attributed to the target; 1: certainly.
     void on_failure(Target& target, double weight);
 
-    // The attempt ended, whatever came of it; a breaker must not wait on for a trial that showed nothing.
+    // Called when any attempt ends. Reopens a half-open breaker, which must not wait for an inconclusive
+    // trial.
     void on_attempt_ended(Target& target);
 
   private:
--- a/src/routing/decayed_mean.h
+++ b/src/routing/decayed_mean.h
@@ -1,4 +1,4 @@
-// A value that fades exponentially with time: the means and reports that the estimates are made of.
+// A value that decays exponentially over time, used for running means and reported values.
 #pragma once
 
 #include <cmath>
@@ -12,10 +12,9 @@
     double value = 0;
     Micros at = 0;
 
-    // The value at `now` (not before `at`), faded into `towards` with the time constant `memory`
-    // (microseconds).
-    double faded(Micros now, double towards, double memory) const {
-        return towards + (value - towards) * std::exp(-static_cast<double>(now - at) / memory);
+    // The value at `now` (not before `at`), decayed towards `baseline` with `time_constant` in microseconds.
+    double decayed(Micros now, double baseline, double time_constant) const {
+        return baseline + (value - baseline) * std::exp(-static_cast<double>(now - at) / time_constant);
     }
 };
 
--- a/src/routing/decision_context.h
+++ b/src/routing/decision_context.h
@@ -1,6 +1,7 @@
-// What every routing module shares for the event at hand: settings, time, randomness and the list of actions.
+// State shared by all routing modules while an event is processed: settings, time, random numbers and
+// actions.
 //
-// The router owns the one context and sets time and actions for each event; the modules hold a reference.
+// The router owns the only instance and sets time and actions for each event; the modules hold a reference.
 #pragma once
 
 #include <algorithm>
@@ -17,27 +18,27 @@
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
 
-// Settings by zone or class may be shorter than the list of zones or classes.
+// Returns `fallback` if the index is out of range: lists of settings per zone or class may be incomplete.
 template <typename T>
-T value_at(const std::vector<T>& list, int index, T otherwise) {
-    return index >= 0 && index < static_cast<int>(list.size()) ? list[index] : otherwise;
+T value_at(const std::vector<T>& list, int index, T fallback) {
+    return index >= 0 && index < static_cast<int>(list.size()) ? list[index] : fallback;
 }
 
 struct DecisionContext {
     DecisionContext(const Settings& initial, std::uint64_t seed) : settings(initial), random(seed) {}
 
-    // Random whole microseconds from 0 to `max`, both included; draws nothing unless `max` is positive.
+    // Uniform random value in [0, `max`]; draws no random number unless `max` is positive.
     Micros jitter(Micros max) {
         return max <= 0 ? 0 : static_cast<Micros>(random() % static_cast<std::uint64_t>(max + 1));
     }
 
     void emit(Action action) { actions->push_back(std::move(action)); }
 
-    double faded(const DecayedMean& mean, double towards, double memory) const {
-        return mean.faded(now, towards, memory);
+    double decayed(const DecayedMean& mean, double baseline, double time_constant) const {
+        return mean.decayed(now, baseline, time_constant);
     }
 
-    // Routers in a zone, at least 1.
+    // Number of routers in a zone, at least 1.
     double routers_in_zone(int zone) const {
         return std::max(1, value_at(settings.instances_by_zone, std::max(0, zone), settings.instance_count));
     }
@@ -45,7 +46,7 @@
     Settings settings;
     std::mt19937_64 random;
     Micros now = 0;
-    std::vector<Action>* actions = nullptr;  // of the event at hand; not owned
+    std::vector<Action>* actions = nullptr;  // of the current event; not owned
 };
 
 }  // namespace sumackeel::routing
--- a/src/routing/eligibility.cpp
+++ b/src/routing/eligibility.cpp
@@ -10,11 +10,11 @@
 }
 
 bool Eligibility::may_repeat(const Request& request, const Attempt& earlier, const Target& target) const {
-    const ClassSettings& service = class_of(context_.settings, request);
-    if (service.retry_safety == RetrySafety::idempotent) return true;
-    if (service.retry_safety == RetrySafety::not_idempotent) return false;
-    if (context_.now >= earlier.sent_at + service.idempotency_window) return false;
-    switch (service.idempotency_scope) {
+    const ClassSettings& class_settings = class_of(context_.settings, request);
+    if (class_settings.retry_safety == RetrySafety::idempotent) return true;
+    if (class_settings.retry_safety == RetrySafety::not_idempotent) return false;
+    if (context_.now >= earlier.sent_at + class_settings.idempotency_window) return false;
+    switch (class_settings.idempotency_scope) {
         case IdempotencyScope::all:
             return true;
         case IdempotencyScope::zone:
--- a/src/routing/eligibility.h
+++ b/src/routing/eligibility.h
@@ -1,4 +1,4 @@
-// Eligibility: rules that no choice of an endpoint may break, whatever it would gain.
+// Eligibility: hard constraints on which endpoints may serve a request, regardless of performance.
 #pragma once
 
 #include "routing/request.h"
@@ -11,8 +11,8 @@
     Eligibility(const DecisionContext& context, const SlowStart& slow_start)
         : context_(context), slow_start_(slow_start) {}
 
-    // Whether the target is ready, may repeat what the request's attempts may have run already, and has room
-    // in its slow start budget.
+    // Whether the target is ready, has slow start budget left, and may repeat the request's attempts that may
+    // have been executed.
     bool can_serve(const Target& target, const Request& request) const;
 
   private:
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -9,8 +9,8 @@
 namespace sumackeel::routing {
 namespace {
 
-// After so many failures to reach it in a row a process is taken for gone: it comes back cold.
-constexpr int kUnreachableUntilRestart = 3;
+// Consecutive unreachable results after which a target is assumed to have stopped, and to return cold.
+constexpr int kUnreachableBeforeRestart = 3;
 
 }  // namespace
 
@@ -25,16 +25,16 @@
 void EndpointTable::update_entry(const Endpoint& entry) {
     Target& target = targets_[entry.name];
     const bool was_unverified = target.entry.unverified;
-    // Listed once more out of an old list, it keeps its place in slow start.
-    const Micros since = !entry.unverified ? entry.started_at
-                         : was_unverified  ? target.entry.started_at
-                                           : context_.now;
-    if (target.entry.started_at != since) {
-        target.health = Health{};  // earlier failures say nothing about a new process
-        slow_start_.begin(target, since);
+    // An entry that is unverified once more keeps its slow start progress.
+    const Micros started_at = !entry.unverified ? entry.started_at
+                              : was_unverified  ? target.entry.started_at
+                                                : context_.now;
+    if (target.entry.started_at != started_at) {
+        target.health = Health{};  // failures of the previous process do not apply
+        slow_start_.begin(target, started_at);
     }
     target.entry = entry;
-    target.entry.started_at = since;
+    target.entry.started_at = started_at;
     target.awaiting_first_response = entry.unverified && (target.awaiting_first_response || !was_unverified);
     target.hash = hash_of(entry.name);
     target.role = role_of(entry);
@@ -46,7 +46,7 @@
     if (entry.kind >= 0 && entry.kind == settings.origin_kind) return Role::origin;
     if (entry.kind >= 0 && entry.kind == settings.parent_kind) return Role::parent;
     if (settings.own_zone < 0 || entry.zone == settings.own_zone) return Role::cache;
-    return Role::foreign;
+    return Role::other_zone;
 }
 
 void EndpointTable::rebuild_role_lists() {
@@ -80,7 +80,7 @@
     return zone_capacity_;
 }
 
-// Rebuilds the zone table after a list or a restart, and once one more cache is warm.
+// Rebuilds the zone table after a new list or a restart, and when another cache becomes warm.
 void EndpointTable::refresh_zone() {
     if (!zone_outdated_ && context_.now < next_warm_at_) return;
     zone_outdated_ = false;
@@ -97,13 +97,13 @@
     }
 }
 
-// Also brings next_warm_at_ forward to when this cache will be warm.
+// Also moves next_warm_at_ forward to the time when this cache becomes warm, if that is earlier.
 bool EndpointTable::is_warm(const Target& cache) {
     const Settings& settings = context_.settings;
-    const Micros since = cache.entry.started_at;
-    if (since <= 0 || (settings.warm_up_duration <= 0 && !cache.awaiting_first_response)) return true;
+    const Micros started_at = cache.entry.started_at;
+    if (started_at <= 0 || (settings.warm_up_duration <= 0 && !cache.awaiting_first_response)) return true;
     if (cache.awaiting_first_response) return false;
-    const Micros warm_at = since + settings.warm_up_duration + settings.overload_window;
+    const Micros warm_at = started_at + settings.warm_up_duration + settings.overload_window;
     if (context_.now < warm_at) next_warm_at_ = std::min(next_warm_at_, warm_at);
     return context_.now >= warm_at;
 }
@@ -115,13 +115,14 @@
 
 void EndpointTable::record_response(Target& target) {
     target.last_response_at = context_.now;
-    const bool was_gone = std::exchange(target.consecutive_unreachable, 0) >= kUnreachableUntilRestart;
-    if (was_gone && target.role != Role::origin) {
+    const bool presumed_restarted =
+        std::exchange(target.consecutive_unreachable, 0) >= kUnreachableBeforeRestart;
+    if (presumed_restarted && target.role != Role::origin) {
         slow_start_.begin(target, context_.now);
         zone_outdated_ = true;
     }
     if (!std::exchange(target.awaiting_first_response, false)) return;
-    // Slow start counts from here: the endpoint may have come up long after this router did.
+    // Slow start begins now: the endpoint may have started long after this router.
     target.entry.started_at = context_.now;
     zone_outdated_ = true;
 }
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -1,7 +1,7 @@
-// Endpoint table: who is listed, in which role, and the compact table of the own zone's caches.
+// Endpoint table: the listed endpoints with their roles, and a compact table of the caches in the own zone.
 //
-// A list may name thousands of caches, and every request is ranked over those of its zone. So what the
-// ranking reads of each stands side by side in the zone table.
+// A list may contain thousands of caches, and each request ranks all those of its zone. The zone table
+// therefore stores the fields that ranking reads contiguously.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,16 @@
 
 namespace sumackeel::routing {
 
-// What ranking needs of one ready cache. `warm` and `breaker_open` mirror what its Target says.
+// Fields of one ready cache that ranking reads. `warm` and `breaker_open` mirror the state of its Target.
 struct ZoneCache {
     std::uint64_t hash = 0;
     double weight = 0;
     Target* target = nullptr;
-    bool warm = false;  // has its full weight: not in slow start, and no overload window reaches back into it
+    bool warm = false;  // at full weight: not in slow start, and the overload window no longer overlaps it
     bool breaker_open = false;  // open or half open
 };
 
-// Owns all targets; pointers to them stay valid as long as the table.
+// Owns all targets. Pointers to targets stay valid for the lifetime of the table.
 class EndpointTable {
   public:
     EndpointTable(DecisionContext& context, SlowStart& slow_start)
@@ -31,29 +31,29 @@
     EndpointTable(const EndpointTable&) = delete;
     EndpointTable& operator=(const EndpointTable&) = delete;
 
-    // Takes in an endpoint list in full or in part; not for EndpointUpdateKind::failed.
+    // Applies a full or incremental endpoint list; must not be called for EndpointUpdateKind::failed.
     void update(const EndpointUpdate& update);
 
     Target* find(const std::string& name);
 
-    Target* origin() const { return origin_; }  // null: none was ever listed; it may be draining or removed
+    Target* origin() const { return origin_; }  // null: never listed; may be draining or removed
     bool is_origin_ready() const { return origin_ && origin_->entry.state == EndpointState::ready; }
 
-    const std::vector<Target*>& caches() const { return caches_; }    // ready, of the own zone, by name
-    const std::vector<Target*>& parents() const { return parents_; }  // ready, by name
+    const std::vector<Target*>& caches() const { return caches_; }    // ready caches of the own zone, by name
+    const std::vector<Target*>& parents() const { return parents_; }  // ready parents, by name
 
-    const std::vector<ZoneCache>& zone_caches();  // in the order of caches()
-    double zone_capacity();                       // of all of them, in transfers at full rate
+    const std::vector<ZoneCache>& zone_caches();  // same order as caches()
+    double zone_capacity();                       // total capacity, in transfers at full rate
 
     // Copies the target's breaker state into the zone table.
     void mirror_breaker(const Target& target);
 
-    // Records a response of the target, which ends the doubt about one of an old list. One that answers again
-    // after it could not be reached is taken for restarted: the list names its new start only later, and
-    // until then all routers would send it their full load.
+    // Records a response of the target, which confirms an unverified one. A target that responds again after
+    // it was unreachable is assumed to have restarted: the list reports the new start only later, and until
+    // then all routers would send it their full load.
     void record_response(Target& target);
 
-    // Moves the service clocks of targets with attempts in flight past a stall of this process.
+    // Excludes a stall of this process from the service clocks of targets with attempts in flight.
     void skip_stall(Micros duration);
 
   private:
@@ -71,9 +71,9 @@
     std::vector<Target*> parents_;
     std::vector<ZoneCache> zone_;
     bool zone_outdated_ = true;
-    Micros next_warm_at_ = 0;   // when the next cache of the zone leaves slow start
-    double warm_capacity_ = 0;  // of the caches that are warm
-    double zone_capacity_ = 0;  // of all, as of zone_capacity_at_
+    Micros next_warm_at_ = 0;   // when the next cache of the zone becomes warm
+    double warm_capacity_ = 0;  // of the warm caches
+    double zone_capacity_ = 0;  // of all caches, as of zone_capacity_at_
     Micros zone_capacity_at_ = -1;
 };
 
--- a/src/routing/fill_coalescing.cpp
+++ b/src/routing/fill_coalescing.cpp
@@ -8,12 +8,13 @@
 namespace sumackeel::routing {
 namespace {
 
-constexpr Micros kCopyMemory = 60 * kSecond;  // without a request for so long a record is dropped
+constexpr Micros kCopyRecordLifetime =
+    60 * kSecond;  // time without a request after which a record is removed
 constexpr Micros kRecentlyServed = 4 * kSecond;
 constexpr Micros kLikelyHeld = 8 * kSecond;  // a copy unused for longer may have been evicted
 constexpr double kRevalidateFrom =
-    0.8;  // of the freshness lifetime; caches revalidate in the background from here
-constexpr double kWaitFraction = 0.4;  // of the latency objective that a request may wait for a fill
+    0.8;  // fraction of the freshness lifetime after which caches revalidate in the background
+constexpr double kWaitFraction = 0.4;  // fraction of the latency objective that a request may wait for a fill
 
 }  // namespace
 
@@ -24,7 +25,7 @@
 }
 
 double FillCoalescing::recent_requests(const CachedCopy& copy) const {
-    return context_.faded(copy.request_rate, 0, kRequestRateMemory);
+    return context_.decayed(copy.request_rate, 0, kRequestRateTimeConstant);
 }
 
 bool FillCoalescing::can_share(const CachedCopy& copy, const Request& request) const {
@@ -39,7 +40,7 @@
            (copy.leader.empty() || copy.fill_started_at > purges_.purged_at(request));
 }
 
-void FillCoalescing::hold(Request& request, CachedCopy& copy) {
+void FillCoalescing::enqueue(Request& request, CachedCopy& copy) {
     request.waiting_for_fill = true;
     copy.waiters.push_back(request.arrival.id);
     const double max_wait = kWaitFraction * static_cast<double>(request.objective_at - request.arrived_at);
@@ -80,8 +81,8 @@
     CachedCopy* copy = copies_.find(request.key);
     if (!copy || attempt.cache->role != Role::cache) return;
     copy->holder = attempt.cache;
-    const ClassSettings& service = class_of(context_.settings, request);
-    const double revalidated_after = kRevalidateFrom * static_cast<double>(service.freshness_lifetime);
+    const ClassSettings& class_settings = class_of(context_.settings, request);
+    const double revalidated_after = kRevalidateFrom * static_cast<double>(class_settings.freshness_lifetime);
     if (!attempt.accepts_stale && static_cast<double>(context_.now - copy->fresh_since) > revalidated_after)
         copy->fresh_since = attempt.sent_at;
     copy->holder_since = attempt.sent_at;
@@ -104,7 +105,8 @@
 }
 
 void FillCoalescing::sweep() {
-    copies_.sweep([&](const CachedCopy& copy) { return context_.now - copy.request_rate.at > kCopyMemory; });
+    copies_.sweep(
+        [&](const CachedCopy& copy) { return context_.now - copy.request_rate.at > kCopyRecordLifetime; });
 }
 
 }  // namespace sumackeel::routing
--- a/src/routing/fill_coalescing.h
+++ b/src/routing/fill_coalescing.h
@@ -1,7 +1,8 @@
-// Fill coalescing: the table of cached copies and of fills under way by (object, part).
+// Fill coalescing: table of cached copies and fills in progress, by (object, part).
 //
-// The first request for an (object, part) leads its fill; later ones go to the same cache and share it, or
-// wait until it ends. After a response the table names the cache that proved to hold the copy.
+// The first request for an (object, part) leads its fill. Later requests go to the same cache and share the
+// fill, or wait until it ends. After a response, the table records the cache that has been proven to hold the
+// copy.
 #pragma once
 
 #include <cstddef>
@@ -15,24 +16,24 @@
 
 namespace sumackeel::routing {
 
-// What is known of one (object, part).
+// State of one (object, part).
 struct CachedCopy {
-    std::string leader;  // the request that leads the fill under way; empty: none
+    std::string leader;  // id of the request that leads the fill in progress; empty: none
     Target* fill_cache = nullptr;
     Micros fill_started_at = 0;
     Micros fill_overdue_at = 0;
-    std::deque<std::string> waiters;  // requests that share the fill or wait for it, in order of arrival
-    Target* holder = nullptr;         // the last cache that proved to hold a copy
+    std::deque<std::string> waiters;  // requests that share or await the fill, in order of arrival
+    Target* holder = nullptr;         // the cache last proven to hold a copy
     Micros holder_since = 0;          // when the attempt that proved it was sent
     Micros last_served_at = 0;
     Micros fresh_since = 0;    // when the copy was last filled or revalidated
-    DecayedMean request_rate;  // requests within the rate's memory
+    DecayedMean request_rate;  // recent requests, decayed with kRequestRateTimeConstant
     int request_count = 0;
 };
 
 class FillCoalescing {
   public:
-    static constexpr double kRequestRateMemory = 3.0 * kSecond;  // time constant, in microseconds
+    static constexpr double kRequestRateTimeConstant = 3.0 * kSecond;  // in microseconds
 
     FillCoalescing(DecisionContext& context, const PurgeLog& purges, const Eligibility& eligibility)
         : context_(context), purges_(purges), eligibility_(eligibility) {}
@@ -43,57 +44,57 @@
     CachedCopy* find(const std::string& key) { return copies_.find(key); }
     CachedCopy& find_or_create(const std::string& key) { return copies_.touch(key); }
 
-    // Requests for the copy within the rate's memory.
+    // Decayed count of recent requests for the copy.
     double recent_requests(const CachedCopy& copy) const;
 
-    // Whether the request may share the fill under way. An overdue fill is not shared: if it hangs, so would
-    // all that share it. A fill from before a purge would give its sharers a purged copy.
+    // Whether the request may share the fill in progress. An overdue fill may hang, and with it all requests
+    // that share it. A fill started before a purge would deliver a purged copy.
     bool can_share(const CachedCopy& copy, const Request& request) const;
 
-    // Whether the cache may coalesce the request. It gives nothing older than was asked for, so coalescing
-    // goes on after a purge unless a fill of this router from before the purge is under way. Other fills need
-    // no such proof: of many routers hardly one knows of a fill since the purge, and each would have the part
-    // filled anew.
+    // Whether the cache may coalesce the request. The cache respects the requested maximum age, so coalescing
+    // stays allowed after a purge unless this router has a fill in progress that was started before the
+    // purge. A fill known to have started after the purge is not required: few of many routers know of one,
+    // and every other router would have the part filled again.
     bool may_coalesce(const CachedCopy& copy, const Request& request) const;
 
     bool has_room_to_wait(const CachedCopy& copy) const { return copy.waiters.size() < kMaxWaiters; }
 
-    // The request waits until the fill ends, or for a part of its latency objective.
-    void hold(Request& request, CachedCopy& copy);
+    // Makes the request wait until the fill ends, at most for a fraction of its latency objective.
+    void enqueue(Request& request, CachedCopy& copy);
 
-    // The request shares the fill under way; past the bound it is not listed as a possible next leader.
+    // Adds the request to the fill in progress; above kMaxWaiters it can't become the next leader.
     void share(const Request& request, CachedCopy& copy);
 
-    // The request begins a fill as planned.
+    // Starts a fill led by the request, as planned.
     void lead(const Request& request, CachedCopy& copy, const RoutePlan& plan);
 
-    // Ends the fill if `leader` leads it; gives its waiters.
+    // Ends the fill if `leader` leads it, and returns its waiters.
     std::deque<std::string> end_fill(const std::string& key, const std::string& leader);
 
-    // The next leader of a fill whose leader left.
+    // Sets the leader of a fill whose previous leader was cancelled.
     void set_leader(const std::string& key, const std::string& leader);
 
-    // Puts the waiters back if `leader` leads the fill.
+    // Restores the waiters if `leader` leads the fill.
     void restore_waiters(const std::string& key, const std::string& leader, std::deque<std::string> waiters);
 
-    // Notes which cache holds the copy, by an attempt that was served.
+    // Records that the cache of a served attempt holds the copy.
     void record_served(const Request& request, const Attempt& attempt);
 
-    // The cache that proved to hold a copy, unless that was purged or the cache restarted since; or null.
+    // The cache proven to hold a copy; null if there is none, or it was purged or the cache restarted since.
     Target* proven_holder(const CachedCopy& copy, const Request& request) const;
 
-    // Whether the cache proved to hold a copy and is unlikely to have evicted it since.
+    // Whether the cache was proven to hold a copy and is unlikely to have evicted it since.
     bool is_likely_held(const CachedCopy& copy, const Target& cache, const Request& request) const;
 
-    // Whether a response was served so lately that requests go straight to the holder.
+    // Whether the last response is recent enough to send requests directly to the holder.
     bool was_served_recently(const CachedCopy& copy) const;
 
-    // Forgets copies that were not asked for lately.
+    // Removes records of copies that were not requested recently.
     void sweep();
 
   private:
     static constexpr std::size_t kMaxCopies = 60'000;  // about 10 MB
-    static constexpr std::size_t kMaxWaiters = 512;    // listed for one fill
+    static constexpr std::size_t kMaxWaiters = 512;    // per fill
 
     DecisionContext& context_;
     const PurgeLog& purges_;
--- a/src/routing/fill_source.h
+++ b/src/routing/fill_source.h
@@ -1,5 +1,5 @@
-// Fill source: where a cache that lacks a copy gets it from. A sibling that surely holds it, else a parent by
-// hash with nearer regions preferred, else the origin.
+// Fill source: selects where a cache that lacks a copy fetches it. In order of preference: a sibling proven
+// to hold a copy, a parent by hash with nearer regions preferred, the origin.
 #pragma once
 
 #include "routing/fill_coalescing.h"
@@ -16,7 +16,7 @@
                const Eligibility& eligibility, const CircuitBreaker& breaker, const FillCoalescing& fills,
                const OriginThrottle& origin_throttle, LoadEstimate& load, LatencyPrediction& latency);
 
-    // The source for `cache`; the cache itself where there is none. `copy` may be null.
+    // The source for `cache`, or `cache` itself if there is none. `copy` may be null.
     Target* choose(const Request& request, const CachedCopy* copy, Target& cache, FillExpectation fill);
 
   private:
--- a/src/routing/latency_prediction.h
+++ b/src/routing/latency_prediction.h
@@ -1,5 +1,5 @@
-// Latency prediction: how long a response will take, from the request's size, the load and the lateness of
-// the endpoints on its way.
+// Latency prediction: estimates response times from the request's size and from the load and lateness of the
+// endpoints on its path.
 #pragma once
 
 #include "routing/load_estimate.h"
@@ -7,34 +7,34 @@
 
 namespace sumackeel::routing {
 
-constexpr double kBaseLatency = 30.0 * kMillisecond;  // connection, network and small waits of any response
+constexpr double kBaseLatency = 30.0 * kMillisecond;  // connection, network and small delays of any response
 constexpr double kFillDelay =
-    80.0 * kMillisecond;                           // first byte from a parent that may have to ask the origin
-constexpr double kLatenessMemory = 6.0 * kSecond;  // time constant; without it a late target is never retried
-constexpr double kObjectiveMargin = 1.15;  // requests still to arrive slow a transfer by about this factor
+    80.0 * kMillisecond;  // time to first byte from a parent that may have to fetch from the origin
+constexpr double kLatenessTimeConstant = 6.0 * kSecond;  // without decay a late target would never be retried
+constexpr double kObjectiveMargin = 1.15;  // later requests slow a transfer by about this factor
 
-enum class FillKind { full, revalidation };  // a revalidation asks the source but moves few bytes
+enum class FillKind { full, revalidation };  // a revalidation contacts the source but transfers few bytes
 
 class LatencyPrediction {
   public:
     LatencyPrediction(const DecisionContext& context, LoadEstimate& load) : context_(context), load_(load) {}
 
-    // Microseconds until the response is complete; `source` is null where no fill is expected.
+    // Microseconds until the response is complete; `source` is null if no fill is expected.
     double predict(const Request& request, const Target& cache, const Target* source, FillKind kind);
 
-    // Factor by which the target is slower than expected, with the attempts still in flight there.
+    // Factor by which the target is slower than expected, including its attempts still in flight.
     double slowdown(const Target& target);
 
-    // The same by finished attempts alone.
+    // Like slowdown(), from finished attempts only.
     double observed_lateness(const Target& target) const;
 
-    // Time the attempt has taken over the time expected: of a fill by the clock, of a hit by its service.
+    // Elapsed over expected time of the attempt: wall time for a possible fill, service time for a hit.
     double elapsed_ratio(const Target& target, const InFlightAttempt& attempt);
 
-    // Learns from a finished attempt.
+    // Updates the target's lateness from a finished attempt.
     void record_lateness(Target& target, double ratio);
 
-    // Fraction of hits among requests for which there was no proof of a copy.
+    // Hit ratio of requests to caches that were not proven to hold a copy.
     double unproven_hit_ratio() const { return unproven_hit_ratio_; }
     void record_unproven(bool hit);
 
--- a/src/routing/load_estimate.h
+++ b/src/routing/load_estimate.h
@@ -1,12 +1,12 @@
-// Load estimate: how many transfers compete at a cache and on the zone's ingress link, from this router's own
-// attempts, load reports and, where there is no recent report, the mean of the zone.
+// Load estimate: number of concurrent transfers at a cache and on the zone's ingress link, derived from this
+// router's attempts, load reports and, without a recent report, the zone's mean.
 #pragma once
 
 #include "routing/endpoint_table.h"
 
 namespace sumackeel::routing {
 
-// Load (transfers over capacity) from which on a late transfer delays the others noticeably.
+// Load (transfers over capacity) above which a late transfer noticeably delays others.
 constexpr double kOverload = 1.5;
 
 class LoadEstimate {
@@ -14,39 +14,39 @@
     LoadEstimate(const DecisionContext& context, EndpointTable& endpoints, const SlowStart& slow_start)
         : context_(context), endpoints_(endpoints), slow_start_(slow_start) {}
 
-    // Transfers that compete for the cache's egress, with `additional` ones, over its capacity.
+    // Transfers competing for the cache's egress, plus `additional`, over its capacity.
     double load(const Target& target, double additional);
 
-    // Part of the full rate, up to 1, that the zone's ingress link leaves for each fill, with `additional`
-    // ones.
+    // Fraction of the full rate, at most 1, available to each fill on the zone's ingress link with
+    // `additional` fills.
     double ingress_share(double additional) const;
 
-    // Microseconds of service at full rate that a transfer present all the time has had by now.
+    // Microseconds of service at full rate that a permanently present transfer has received until now.
     double service_clock(const Target& target);
 
-    // Brings clock and means up to now; due before the number of attempts in flight changes.
-    void settle(Target& target);
+    // Advances the service clock and the means to now. Must precede each change of the attempts in flight.
+    void advance_to_now(Target& target);
 
-    // The attempt counts at its cache from now on; it has to stay in place until `remove`.
+    // Counts the attempt at its cache until `remove`; the object's address must not change in between.
     void add(const InFlightAttempt& attempt);
     void remove(const InFlightAttempt& attempt);
 
-    // Learns from a load report what other routers have in flight.
+    // Updates the estimate of other routers' transfers from a load report.
     void record_report(Target& cache, const LoadReport& report);
 
   private:
     double others_in_flight(const Target& target);
     double ingress_capacity() const;
-    void settle_mean(DecayedMean& mean, double present) const;
+    void advance_mean(DecayedMean& mean, double current_value) const;
 
     const DecisionContext& context_;
     EndpointTable& endpoints_;
     const SlowStart& slow_start_;
     double in_flight_ = 0;        // attempts of this router
-    double fills_in_flight_ = 0;  // expected number of them on the ingress link
+    double fills_in_flight_ = 0;  // expected number of them that occupy the ingress link
     DecayedMean mean_in_flight_;
     DecayedMean mean_fills_;
-    DecayedMean reported_fills_;  // of other routers, by load report
+    DecayedMean reported_fills_;  // fills of other routers, from load reports
 };
 
 }  // namespace sumackeel::routing
--- a/src/routing/origin_throttle.h
+++ b/src/routing/origin_throttle.h
@@ -1,8 +1,9 @@
-// Origin throttle: bounds the fills that wait at an origin which is slower than usual.
+// Origin throttle: limits the fills that wait at an origin that is slower than usual.
 //
-// Far more than an origin can do stops it for everybody, and each fill that times out there is asked for once
-// more. So while the origin is crowded, the fills that all routers have waiting there are bounded: as many
-// are sent as are answered, and each router takes its turn. Other requests get what parents have cached.
+// An overloaded origin may stop serving altogether, and each fill that times out is requested again. So while
+// the origin is congested, the number of fills that all routers together have waiting there is limited: fills
+// are sent at the rate at which they are served, and the routers take turns. Other requests get what the
+// parents have cached.
 #pragma once
 
 #include "routing/circuit_breaker.h"
@@ -14,21 +15,21 @@
     OriginThrottle(DecisionContext& context, const EndpointTable& endpoints, const CircuitBreaker& breaker)
         : context_(context), endpoints_(endpoints), breaker_(breaker) {}
 
-    // An origin is known, and a fill may not go to it now.
+    // Whether an origin is known but no fill may be sent to it now.
     bool is_blocked() const {
         const Target* origin = endpoints_.origin();
-        return origin && (!breaker_.admits(*origin) || (is_crowded() && !is_turn()));
+        return origin && (!breaker_.admits(*origin) || (is_congested() && !is_turn()));
     }
 
-    bool is_crowded() const;
+    bool is_congested() const;
 
-    // Whether this router's next fill may go, as far as the spacing is concerned.
+    // Whether the interval since this router's previous fill allows the next one.
     bool is_turn() const;
 
-    // A fill that may reach the origin is sent.
+    // Records that a fill is sent that may reach the origin.
     void take_turn();
 
-    // Learns from a finished attempt how long the origin takes.
+    // Updates the origin's slowdown from a finished attempt.
     void record(const InFlightAttempt& attempt, const AttemptFinished& result);
 
   private:
@@ -38,8 +39,8 @@
     DecisionContext& context_;
     const EndpointTable& endpoints_;
     const CircuitBreaker& breaker_;
-    // Recent first bytes over what is usual through the same parent; parents are not equally far from the
-    // origin.
+    // Recent over typical time to first byte through the same parent, since parents differ in their distance
+    // to the origin.
     DecayedMean slowdown_{1, 0};
     Micros next_turn_at_ = 0;
 };
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -5,17 +5,19 @@
 namespace sumackeel::routing {
 namespace {
 
-constexpr double kHitTimeFactor = 1.3;      // without a cache status, responses that took longer were fills
-constexpr double kSlowFailure = 1.5;        // a failure so far over the expected time is an abandoned wait
+constexpr double kHitTimeFactor = 1.3;  // without a cache status, slower responses count as fills
+constexpr double kSlowFailureRatio =
+    1.5;  // ratio to the expected time above which a failure counts as an abandoned wait
 constexpr double kUnreachableWeight = 1.6;  // of a source that a cache reports as unreachable
 constexpr double kFailureRatePrior = 0.05;
-constexpr Micros kQuickRejection = 8 * kMillisecond;  // a cache's own rejection takes one way within the zone
+constexpr Micros kQuickRejection =
+    8 * kMillisecond;  // a cache's own rejection takes only a trip within the zone
 
 bool is_fill(CacheStatus status) {
     return status == CacheStatus::filled || status == CacheStatus::filled_by_origin;
 }
 
-bool blames_source(CacheStatus status) {
+bool is_source_failure(CacheStatus status) {
     return status == CacheStatus::source_unreachable || status == CacheStatus::source_rejected ||
            status == CacheStatus::origin_failed;
 }
@@ -47,77 +49,80 @@
 OutlierDetection::Observation OutlierDetection::observe(const InFlightAttempt& attempt,
                                                         const AttemptFinished& result) {
     Target& cache = *attempt.cache;
-    Observation seen{.attempt = attempt, .result = result, .cache = cache};
-    seen.source = attempt.source == &cache ? nullptr : attempt.source;
-    seen.elapsed_hit_ratio =
+    Observation observation{.attempt = attempt, .result = result, .cache = cache};
+    observation.source = attempt.source == &cache ? nullptr : attempt.source;
+    observation.elapsed_hit_ratio =
         (load_.service_clock(cache) - attempt.service_clock_at_start) / attempt.expected_hit_time;
     const bool no_status = context_.settings.cache_status_detail == CacheStatusDetail::none;
-    seen.hit = result.cache_status == CacheStatus::hit || result.cache_status == CacheStatus::stale ||
-               (no_status && seen.elapsed_hit_ratio < kHitTimeFactor);
-    seen.fill = seen.source && (is_fill(result.cache_status) || (attempt.may_fill && !seen.hit));
-    seen.elapsed_ratio = latency_.elapsed_ratio(cache, attempt);
-    return seen;
+    observation.hit = result.cache_status == CacheStatus::hit || result.cache_status == CacheStatus::stale ||
+                      (no_status && observation.elapsed_hit_ratio < kHitTimeFactor);
+    observation.fill =
+        observation.source && (is_fill(result.cache_status) || (attempt.may_fill && !observation.hit));
+    observation.elapsed_ratio = latency_.elapsed_ratio(cache, attempt);
+    return observation;
 }
 
 void OutlierDetection::record_result(const InFlightAttempt& attempt, const AttemptFinished& result) {
-    const Observation seen = observe(attempt, result);
+    const Observation observation = observe(attempt, result);
     switch (result.status) {
         case AttemptStatus::served:
-            record_served(seen);
+            record_served(observation);
             break;
         case AttemptStatus::overloaded:
-            record_overloaded(seen);
+            record_overloaded(observation);
             break;
         case AttemptStatus::timed_out:
-            if (seen.elapsed_ratio <= kSlowFailure) break;
+            if (observation.elapsed_ratio <= kSlowFailureRatio) break;
             [[fallthrough]];
         case AttemptStatus::error:
         case AttemptStatus::connection_reset:
         case AttemptStatus::connect_failed:
-            record_failed(seen, result.cache_status, seen.fill, seen.elapsed_ratio, attempt.due_at());
+            record_failed(observation, result.cache_status, observation.fill, observation.elapsed_ratio,
+                          attempt.due_at());
             break;
         case AttemptStatus::cancelled:
         case AttemptStatus::not_sent:
         case AttemptStatus::not_found:
             break;
     }
-    breaker_.on_attempt_ended(seen.cache);
-    if (seen.source) breaker_.on_attempt_ended(*seen.source);
+    breaker_.on_attempt_ended(observation.cache);
+    if (observation.source) breaker_.on_attempt_ended(*observation.source);
 }
 
-void OutlierDetection::record_served(const Observation& seen) {
+void OutlierDetection::record_served(const Observation& observation) {
     const bool no_status = context_.settings.cache_status_detail == CacheStatusDetail::none;
-    if (no_status && seen.attempt.ingress_probability > 0) latency_.record_unproven(seen.hit);
-    breaker_.on_success(seen.cache);
-    if (seen.fill) {
-        breaker_.on_success(*seen.source);
-        const double of_cache = std::max(1.0, latency_.observed_lateness(seen.cache));
-        latency_.record_lateness(*seen.source, seen.elapsed_ratio / of_cache);
+    if (no_status && observation.attempt.ingress_probability > 0) latency_.record_unproven(observation.hit);
+    breaker_.on_success(observation.cache);
+    if (observation.fill) {
+        breaker_.on_success(*observation.source);
+        const double cache_lateness = std::max(1.0, latency_.observed_lateness(observation.cache));
+        latency_.record_lateness(*observation.source, observation.elapsed_ratio / cache_lateness);
     }
-    if (!seen.fill || seen.elapsed_ratio < latency_.observed_lateness(seen.cache))
-        latency_.record_lateness(seen.cache, seen.fill ? seen.elapsed_ratio : seen.elapsed_hit_ratio);
+    if (!observation.fill || observation.elapsed_ratio < latency_.observed_lateness(observation.cache))
+        latency_.record_lateness(
+            observation.cache, observation.fill ? observation.elapsed_ratio : observation.elapsed_hit_ratio);
 }
 
-// A cache without capacity says so at once; what took longer came from the source. A hit that was expected
-// may have been a fill, so the time it took counts, not the expectation.
-void OutlierDetection::record_overloaded(const Observation& seen) {
-    const bool unknown = seen.result.cache_status == CacheStatus::unknown;
-    const bool quick = seen.result.elapsed <= kQuickRejection && unknown;
-    if (!seen.source || quick) return breaker_.on_failure(seen.cache, 1);
-    const CacheStatus status = unknown ? CacheStatus::source_rejected : seen.result.cache_status;
-    record_failed(seen, status, true, 0, 0);
+// A cache without capacity rejects at once, so a slower rejection came from the source. An expected hit may
+// have been a fill, so the elapsed time decides, not the expectation.
+void OutlierDetection::record_overloaded(const Observation& observation) {
+    const bool unknown = observation.result.cache_status == CacheStatus::unknown;
+    const bool quick = observation.result.elapsed <= kQuickRejection && unknown;
+    if (!observation.source || quick) return breaker_.on_failure(observation.cache, 1);
+    const CacheStatus status = unknown ? CacheStatus::source_rejected : observation.result.cache_status;
+    record_failed(observation, status, true, 0, 0);
 }
 
-void OutlierDetection::record_failed(const Observation& seen, CacheStatus cache_status, bool fill,
+void OutlierDetection::record_failed(const Observation& observation, CacheStatus cache_status, bool fill,
                                      double elapsed_ratio, Micros due_at) {
-    Target& cache = seen.cache;
-    Target* const source = seen.source;
+    Target& cache = observation.cache;
+    Target* const source = observation.source;
     Target* const origin = endpoints_.origin();
     if (fill && cache_status == CacheStatus::origin_failed && origin) return breaker_.on_failure(*origin, 1);
     const bool unknown = cache_status == CacheStatus::unknown;
-    const bool abandoned = unknown && elapsed_ratio > kSlowFailure;
-    double source_weight = fill && (blames_source(cache_status) || abandoned) ? 1 : 0;
-    if (fill && unknown && elapsed_ratio <= kSlowFailure)
+    const bool abandoned = unknown && elapsed_ratio > kSlowFailureRatio;
+    double source_weight = fill && (is_source_failure(cache_status) || abandoned) ? 1 : 0;
+    if (fill && unknown && elapsed_ratio <= kSlowFailureRatio)
         source_weight = (source->health.failure_rate + kFailureRatePrior) /
                         (source->health.failure_rate + cache.health.failure_rate + 2 * kFailureRatePrior);
     if (source_weight > 0) {
@@ -125,9 +130,9 @@
         breaker_.on_failure(*source, unreachable ? kUnreachableWeight : source_weight);
     }
     if (source_weight < 1) breaker_.on_failure(cache, 1 - source_weight);
-    Target& slow = fill ? *source : cache;
-    if (elapsed_ratio > kSlowFailure && slow.last_response_at <= due_at)
-        latency_.record_lateness(slow, elapsed_ratio);
+    Target& late_target = fill ? *source : cache;
+    if (elapsed_ratio > kSlowFailureRatio && late_target.last_response_at <= due_at)
+        latency_.record_lateness(late_target, elapsed_ratio);
 }
 
 }  // namespace sumackeel::routing
--- a/src/routing/outlier_detection.h
+++ b/src/routing/outlier_detection.h
@@ -1,9 +1,9 @@
-// Outlier detection: what a finished attempt says of its cache and of its source, for the breaker and for the
-// lateness of each.
+// Outlier detection: attributes the result of a finished attempt to its cache or its source, and updates
+// their breakers and lateness.
 //
-// Blaming a cache for its source's failure would eject healthy caches one after another. The cache status
-// decides; without one, a fill that failed only after a wait was abandoned by its source, and a quick failure
-// is put down to the more suspect of the two.
+// Attributing a source's failure to the cache would eject one healthy cache after another. The cache status
+// decides. Without one, a fill that failed after a long wait is attributed to the source, and a quick failure
+// is divided between the two in proportion to their failure rates.
 #pragma once
 
 #include "routing/circuit_breaker.h"
@@ -17,14 +17,14 @@
                      LoadEstimate& load, LatencyPrediction& latency)
         : context_(context), endpoints_(endpoints), breaker_(breaker), load_(load), latency_(latency) {}
 
-    // Records which of the attempt's endpoints responded and which could not be reached.
+    // Records which of the attempt's endpoints responded and which were unreachable.
     void record_reachability(const InFlightAttempt& attempt, const AttemptFinished& result);
 
-    // Learns lateness and failures; the attempt has already been taken out of the load.
+    // Updates lateness and failure rates. The attempt must already be removed from the load estimate.
     void record_result(const InFlightAttempt& attempt, const AttemptFinished& result);
 
   private:
-    // The attempt, seen after its end.
+    // Evaluation of a finished attempt.
     struct Observation {
         const InFlightAttempt& attempt;
         const AttemptFinished& result;
@@ -32,15 +32,15 @@
         Target* source = nullptr;  // null: the cache itself
         bool hit = false;
         bool fill = false;
-        double elapsed_ratio = 0;      // over the expected time
-        double elapsed_hit_ratio = 0;  // over the time of a hit
+        double elapsed_ratio = 0;      // elapsed over expected time
+        double elapsed_hit_ratio = 0;  // elapsed over expected time of a hit
     };
 
     Observation observe(const InFlightAttempt& attempt, const AttemptFinished& result);
-    void record_served(const Observation& seen);
-    void record_overloaded(const Observation& seen);
-    void record_failed(const Observation& seen, CacheStatus cache_status, bool fill, double elapsed_ratio,
-                       Micros due_at);
+    void record_served(const Observation& observation);
+    void record_overloaded(const Observation& observation);
+    void record_failed(const Observation& observation, CacheStatus cache_status, bool fill,
+                       double elapsed_ratio, Micros due_at);
 
     const DecisionContext& context_;
     EndpointTable& endpoints_;
--- a/src/routing/purge_log.cpp
+++ b/src/routing/purge_log.cpp
@@ -28,13 +28,13 @@
 }
 
 Micros PurgeLog::max_age(const Request& request, bool accepts_stale) const {
-    const ClassSettings& service = class_of(context_.settings, request);
-    const Micros age = accepts_stale ? service.freshness_lifetime + service.stale_grace : 0;
+    const ClassSettings& class_settings = class_of(context_.settings, request);
+    const Micros age = accepts_stale ? class_settings.freshness_lifetime + class_settings.stale_grace : 0;
     const Micros purged = purged_at(request);
     if (purged == 0) return age;
-    // At least 1: 0 would accept any copy within the class's freshness lifetime.
+    // At least 1: 0 would allow any copy within the class's freshness lifetime.
     const Micros since = std::max<Micros>(1, context_.now - purged);
-    const Micros limit = age > 0 ? age : service.freshness_lifetime;
+    const Micros limit = age > 0 ? age : class_settings.freshness_lifetime;
     return limit > 0 ? std::min(limit, since) : since;
 }
 
--- a/src/routing/purge_log.h
+++ b/src/routing/purge_log.h
@@ -1,4 +1,4 @@
-// Purge log: when each object or purge group was last purged, and the age of copy that a request may get.
+// Purge log: last purge time of each object and purge group, and the maximum copy age this allows a request.
 #pragma once
 
 #include <string>
@@ -15,18 +15,17 @@
 
     void record(const Purge& purge);
 
-    // When the request's object or group was last purged; 0: not in the log.
+    // Time of the last purge of the request's object or purge group; 0: not in the log.
     Micros purged_at(const Request& request) const;
 
-    // The oldest copy that the request may get, in microseconds; 0 leaves it to the class's freshness
-    // lifetime.
+    // Maximum age in microseconds of a copy served to the request; 0: the class's freshness lifetime applies.
     Micros max_age(const Request& request, bool accepts_stale) const;
 
-    // Drops purges that caches have long obeyed.
+    // Removes purges that all caches have applied long ago.
     void sweep();
 
   private:
-    // Entries are needed only for the time that caches take to obey.
+    // Entries are only needed until all caches have applied the purge.
     static constexpr std::size_t kMaxPurges = 60'000;
 
     const DecisionContext& context_;
--- a/src/routing/request.h
+++ b/src/routing/request.h
@@ -1,4 +1,4 @@
-// The record of one request and of the attempts made for it.
+// State of one request and its attempts.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace sumackeel::routing {
 
-// Whether the status proves that the endpoint did not run the request, as the wire states it.
+// Whether the status guarantees, per the wire protocol, that the endpoint did not execute the request.
 inline bool proves_not_run(AttemptStatus status) {
     return status == AttemptStatus::overloaded || status == AttemptStatus::connect_failed ||
            status == AttemptStatus::not_sent || status == AttemptStatus::not_found;
@@ -34,18 +34,18 @@
     }
 
     RequestReceived arrival;
-    std::uint64_t serial = 0;  // its timer token
-    std::string key;           // of (object, part)
+    std::uint64_t serial = 0;  // also the token of its timers
+    std::string key;           // identifies the (object, part)
     double transfer_time = 0;  // microseconds at full rate
     Micros deadline = 0;
     Micros objective_at = 0;
     Micros arrived_at = 0;
-    Micros last_useful_send = 0;  // sent after this, not even a cached copy would be complete in time
+    Micros last_useful_send = 0;  // a later attempt could not complete before the deadline, even on a hit
     std::vector<Attempt> attempts;
-    bool waiting_for_fill = false;  // held back until another request's fill ends
+    bool waiting_for_fill = false;  // not dispatched until another request's fill ends
     bool may_wait_for_fill = true;
     bool streaming = false;
-    int errors = 0;  // attempts that a cache itself answered with an error
+    int errors = 0;  // attempts that failed with an error of the cache itself
 };
 
 inline const ClassSettings& class_of(const Settings& settings, const Request& request) {
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -9,46 +9,49 @@
 namespace {
 
 constexpr double kRetriesPerRequest = 0.25;
-constexpr Micros kMinTimeout = 250 * kMillisecond;  // of small objects connection and source take longer
+constexpr Micros kMinTimeout =
+    250 * kMillisecond;  // for small objects, connection and source take longer than the transfer
 constexpr Micros kDeadlineMargin =
-    12 * kMillisecond;  // the last attempt ends so long before the client gives up
+    12 * kMillisecond;  // the last attempt ends this long before the client gives up
 constexpr Micros kMinUsefulTime = 20 * kMillisecond;  // a shorter attempt can't succeed
-constexpr Micros kFirstBackoff = 15 * kMillisecond;   // before the second retry; then doubled, with jitter
+constexpr Micros kFirstBackoff =
+    15 * kMillisecond;  // before the second retry; doubles with each retry, with jitter
 constexpr std::size_t kMaxBackoffDoublings = 4;
 
 }  // namespace
 
 void RetryBudget::record_request() {
-    retries_ = std::min(kMaxSavedRetries, retries_ + kRetriesPerRequest);
+    retries_ = std::min(kMaxRetryBudget, retries_ + kRetriesPerRequest);
 }
 
 void RetryBudget::set_deadlines(Request& request) const {
     const RequestReceived& arrival = request.arrival;
     request.deadline = context_.now + std::min(arrival.time_left, arrival.shutdown_in);
-    // A size that is only guessed gives no reason to end a request early.
+    // An estimated size must not cause a request to be given up early.
     const auto transfer = static_cast<Micros>(arrival.size_kb > 0 ? request.transfer_time : 0);
     request.last_useful_send = request.deadline - kDeadlineMargin - std::max(kMinUsefulTime, transfer);
 }
 
 Micros RetryBudget::timeout(const Request& request, const RoutePlan& plan) const {
-    const Micros left = request.deadline - context_.now - kDeadlineMargin;
-    const bool last = !attempts_left(request) || retries_ < 1 ||
-                      class_of(context_.settings, request).retry_safety == RetrySafety::not_idempotent;
-    const auto wait = std::max(kMinTimeout, static_cast<Micros>(kTimeoutMultiple * plan.expected_time));
-    const auto another = static_cast<Micros>(request.transfer_time + kBaseLatency + kFillDelay);
-    return last || wait + another > left ? left : wait;
+    const Micros time_left = request.deadline - context_.now - kDeadlineMargin;
+    const bool is_last = !attempts_left(request) || retries_ < 1 ||
+                         class_of(context_.settings, request).retry_safety == RetrySafety::not_idempotent;
+    const auto attempt_timeout =
+        std::max(kMinTimeout, static_cast<Micros>(kTimeoutMultiple * plan.expected_time));
+    const auto next_attempt_time = static_cast<Micros>(request.transfer_time + kBaseLatency + kFillDelay);
+    return is_last || attempt_timeout + next_attempt_time > time_left ? time_left : attempt_timeout;
 }
 
 RetryDecision RetryBudget::decide(Request& request, const AttemptFinished& result) {
     constexpr RetryDecision kGiveUp{};
     if (result.status == AttemptStatus::not_sent) return kGiveUp;
-    // An error that a request meets at one cache after another is its own. Tried on, it would use up the
-    // retry budget and have the caches ejected.
+    // Errors at more than one cache are caused by the request itself. Further retries would use up the retry
+    // budget and eject healthy caches.
     if (result.status == AttemptStatus::error && result.cache_status == CacheStatus::unknown &&
         ++request.errors > 1)
         return kGiveUp;
     const bool not_found = result.status == AttemptStatus::not_found;
-    // No parent that was asked has it, and the origin may not be asked.
+    // The parents tried so far lack the object, and the origin may not be contacted.
     if (not_found && origin_throttle_.is_blocked() && request.attempts.size() > 1) return kGiveUp;
     if (!not_found && retries_ < 1) return kGiveUp;
     if (!not_found) retries_ -= 1;
@@ -56,7 +59,7 @@
     if (attempts < 2) return {RetryKind::now};
     const Micros backoff = kFirstBackoff << std::min(attempts - 2, kMaxBackoffDoublings);
     const Micros at = context_.now + backoff / 2 + context_.jitter(backoff / 2);
-    // A wait past the deadline would leave the request without an answer.
+    // Waiting past the deadline would leave the request without a response.
     if (at >= request.last_useful_send) return kGiveUp;
     return {RetryKind::later, at};
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,7 +1,8 @@
-// The router: takes events in, asks the modules in the order of dispatch, and keeps the table of requests.
+// Router: receives the events, calls the decision modules in dispatch order, and owns the request table.
 //
-// Ordinary path: the first miss of an (object, part) leads a fill at the cache that the hash names; later
-// requests go to the same cache and share the fill; after a recent hit requests go straight there.
+// Normal path: the first request for an (object, part) leads a fill at the cache selected by hash. Later
+// requests go to the same cache and share the fill. After a recent response, requests go directly to the
+// cache that holds the copy.
 #include "routing/router.h"
 
 #include <algorithm>
@@ -18,9 +19,10 @@
 namespace sumackeel::routing {
 namespace {
 
-constexpr Micros kSweepInterval = 1 * kSecond;        // between drops of old records
-constexpr Micros kMinWatchRetry = kSecond / 2;        // after a failed endpoint list, with as much jitter
-constexpr Micros kReleaseSpacing = 8 * kMillisecond;  // between the waiters of a failed fill
+constexpr Micros kSweepInterval = 1 * kSecond;  // between removals of expired records
+constexpr Micros kMinWatchRetryDelay =
+    kSecond / 2;  // after a failed endpoint list, plus the same amount of jitter
+constexpr Micros kWaiterReleaseInterval = 8 * kMillisecond;  // between the waiters of a failed fill
 constexpr std::uint64_t kSweepToken = 0;
 constexpr std::uint64_t kWatchToken = 1;
 constexpr std::uint64_t kFirstRequestToken = 2;
@@ -45,7 +47,7 @@
     }
 
   private:
-    // Events of endpoints and of the cluster.
+    // Endpoint and cluster events.
     void on(const EndpointUpdate& update);
     void on(const HealthCheckResult& result);
     void on(const ClusterSizeChanged& size);
@@ -53,7 +55,7 @@
     void on(const GossipReceived&) {}
     void on(const ProcessStalled& stall);
 
-    // Events of requests.
+    // Request events.
     void on(const RequestReceived& arrival);
     void on(const ClientCancelled& cancelled);
     void on(const TimerExpired& timer);
@@ -75,7 +77,7 @@
 
     const Settings& settings() const { return context_.settings; }
 
-    // Each module holds references to the ones above it.
+    // Modules are declared in dependency order: each one refers only to modules above it.
     DecisionContext context_;
     TransferTimes transfer_times_{context_};
     SlowStart slow_start_{context_, transfer_times_};
@@ -99,14 +101,14 @@
                        retries_, origin_throttle_, outliers_,   load_,    latency_};
 
     std::unordered_map<std::string, Request> requests_;             // by id
-    std::unordered_map<std::uint64_t, std::string> ids_by_serial_;  // timer token to request
+    std::unordered_map<std::uint64_t, std::string> ids_by_serial_;  // from timer token to request id
     std::uint64_t next_serial_ = kFirstRequestToken;
     bool started_ = false;
 };
 
 void Router::Impl::on(const EndpointUpdate& update) {
     if (update.kind != EndpointUpdateKind::failed) return endpoints_.update(update);
-    const Micros at = context_.now + kMinWatchRetry + context_.jitter(kMinWatchRetry);
+    const Micros at = context_.now + kMinWatchRetryDelay + context_.jitter(kMinWatchRetryDelay);
     context_.emit(SetTimer{at, kWatchToken});
 }
 
@@ -125,7 +127,7 @@
 }
 
 void Router::Impl::on(const RequestReceived& arrival) {
-    const ClassSettings& service = settings().classes[arrival.class_index];
+    const ClassSettings& class_settings = settings().classes[arrival.class_index];
     Request& request = requests_[arrival.id];
     request.arrival = arrival;
     request.serial = next_serial_++;
@@ -133,8 +135,9 @@
     request.transfer_time = transfer_times_.record(arrival);
     request.arrived_at = context_.now;
     retries_.set_deadlines(request);
-    const auto stretch = static_cast<Micros>(service.latency_objective_stretch * request.transfer_time);
-    const Micros objective = service.latency_objective + stretch;
+    const auto stretch =
+        static_cast<Micros>(class_settings.latency_objective_stretch * request.transfer_time);
+    const Micros objective = class_settings.latency_objective + stretch;
     request.objective_at = context_.now + std::min<Micros>(arrival.time_left, objective);
     request.key = arrival.object + '/' + std::to_string(arrival.part);
     retries_.record_request();
@@ -184,16 +187,17 @@
     const bool served = result.status == AttemptStatus::served;
     if (served && is_cacheable(settings(), *request)) fills_.record_served(*request, attempt);
     const std::string key = request->key;
-    const bool over = result.request_finished || request->streaming || request->has_attempt_in_flight();
+    const bool request_done =
+        result.request_finished || request->streaming || request->has_attempt_in_flight();
     if (result.request_finished) erase_request(result.id);
     if (result.request_finished && served)
         end_fill(key, result.id);
     else
         fail_fill(key, result.id);
-    if (!over) retry(*request, result);
+    if (!request_done) retry(*request, result);
 }
 
-// The order of dispatch: wait for a fill, a cache, past the caches, load shedding, send.
+// Dispatch order: wait for a fill, select a cache, bypass the caches, shed load, send.
 void Router::Impl::dispatch(Request& request) {
     if (!retries_.attempts_left(request) || context_.now >= request.last_useful_send) return refuse(request);
     const bool cacheable = is_cacheable(settings(), request);
@@ -201,7 +205,7 @@
     const bool shared = copy && fills_.can_share(*copy, request) && copy->leader != request.arrival.id;
     if (shared && !fills_.may_coalesce(*copy, request) && request.may_wait_for_fill &&
         fills_.has_room_to_wait(*copy))
-        return fills_.hold(request, *copy);
+        return fills_.enqueue(request, *copy);
     RoutePlan plan = selection_.choose(request, copy, shared);
     if (!plan.cache || !breaker_.admits(*plan.cache)) {
         const RoutePlan bypass = bypass_.choose(request);
@@ -241,7 +245,7 @@
     fail_fill(key, id);
 }
 
-// After a fill that was served its waiters go straight to the copy.
+// After a successful fill, dispatches its waiters immediately to the cached copy.
 void Router::Impl::end_fill(const std::string& key, const std::string& leader) {
     for (const std::string& waiter : fills_.end_fill(key, leader)) {
         Request* request = find_request(waiter);
@@ -251,28 +255,28 @@
     }
 }
 
-// After a fill that failed its waiters are spaced out: together they would each begin a fill.
+// After a failed fill, spaces out its waiters: dispatched together, each would start a fill.
 void Router::Impl::fail_fill(const std::string& key, const std::string& leader) {
     Micros at = context_.now;
     for (const std::string& waiter : fills_.end_fill(key, leader)) {
         const Request* request = find_request(waiter);
         if (!request || !request->waiting_for_fill) continue;
-        at += kReleaseSpacing;
+        at += kWaiterReleaseInterval;
         context_.emit(SetTimer{at, request->serial});
     }
 }
 
-// The leader's client left: the next waiter leads, and the others wait for it.
+// After the leader's client cancelled, makes the next waiter the leader; the others wait for it.
 void Router::Impl::replace_leader(const std::string& key, const std::string& leader) {
     std::deque<std::string> waiters = fills_.end_fill(key, leader);
     while (!waiters.empty() && !requests_.contains(waiters.front())) waiters.pop_front();
     if (waiters.empty()) return;
     const std::string next = waiters.front();
     waiters.pop_front();
-    Request& heir = requests_.at(next);
-    if (heir.waiting_for_fill) {
-        heir.waiting_for_fill = false;
-        dispatch(heir);  // it may lead a fill of its own or be refused
+    Request& new_leader = requests_.at(next);
+    if (new_leader.waiting_for_fill) {
+        new_leader.waiting_for_fill = false;
+        dispatch(new_leader);  // may start its own fill or be rejected
     } else {
         fills_.set_leader(key, next);
     }
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -9,11 +9,13 @@
 namespace sumackeel::routing {
 namespace {
 
-constexpr double kBudgetUse = 0.8;     // fraction of the cold budget; weights are rough
-constexpr double kTailDeviations = 3;  // standard deviations of many routers' requests that the budget covers
-constexpr double kMinCapacity = 0.1;   // transfers
+constexpr double kBudgetSafetyFactor =
+    0.8;  // fraction of the cold budget that is used, since weights are inaccurate
+constexpr double kTailDeviations =
+    3;  // standard deviations of the combined request rate that the budget covers
+constexpr double kMinCapacity = 0.1;  // transfers at full rate
 
-// The mean whose chance excess, in requests of this size, stays within the budget.
+// The mean amount of work whose random excess, in requests of `size`, stays within the budget.
 double mean_within_tail(double budget, double size) {
     if (std::isinf(budget)) return budget;
     const double step = kTailDeviations * std::sqrt(size);
@@ -26,31 +28,32 @@
 double SlowStart::ramp(const Target& target, Micros at) const {
     const Settings& settings = context_.settings;
     const bool parent = target.role == Role::parent;
-    const double from = parent ? settings.parent_cold_fraction : settings.cold_capacity_fraction;
-    const Micros length = parent ? settings.parent_slow_start : settings.warm_up_duration;
-    if (target.entry.started_at <= 0 || length <= 0) return 1;
-    if (target.awaiting_first_response) return from;
-    if (at >= target.entry.started_at + length) return 1;
-    const double done = static_cast<double>(std::max<Micros>(0, at - target.entry.started_at)) / length;
-    return from + (1 - from) * done;
+    const double cold_fraction = parent ? settings.parent_cold_fraction : settings.cold_capacity_fraction;
+    const Micros duration = parent ? settings.parent_slow_start : settings.warm_up_duration;
+    if (target.entry.started_at <= 0 || duration <= 0) return 1;
+    if (target.awaiting_first_response) return cold_fraction;
+    if (at >= target.entry.started_at + duration) return 1;
+    const double progress = static_cast<double>(std::max<Micros>(0, at - target.entry.started_at)) / duration;
+    return cold_fraction + (1 - cold_fraction) * progress;
 }
 
 double SlowStart::capacity(const Target& target) const {
     return std::max(kMinCapacity, target.entry.weight * ramp(target, context_.now));
 }
 
-double SlowStart::sharers(const Target& target) const {
+double SlowStart::sharing_routers(const Target& target) const {
     if (target.role != Role::cache) return std::max(1, context_.settings.instance_count);
     return context_.routers_in_zone(target.entry.zone);
 }
 
-void SlowStart::begin(Target& target, Micros since) {
-    target.cold_debt = {transfer_times_.largest_mean() * unit_hash(context_.random(), target.hash), since};
-    target.entry.started_at = since;
+void SlowStart::begin(Target& target, Micros started_at) {
+    target.cold_debt = {transfer_times_.largest_mean() * unit_hash(context_.random(), target.hash),
+                        started_at};
+    target.entry.started_at = started_at;
 }
 
-// What all routers together may send it in the overload window, in microseconds of transfer time; no bound
-// for the origin and for warm endpoints.
+// Work that all routers together may send to the target per overload window, in microseconds of transfer
+// time. Unlimited for the origin and for warm endpoints.
 double SlowStart::budget(const Target& target, Micros at) const {
     const Settings& settings = context_.settings;
     const double multiple =
@@ -58,27 +61,27 @@
     const double lowest_ramp = ramp(target, at - settings.overload_window);
     if (target.role == Role::origin || multiple <= 0 || lowest_ramp >= 1)
         return std::numeric_limits<double>::infinity();
-    return kBudgetUse * multiple * target.entry.weight * lowest_ramp *
+    return kBudgetSafetyFactor * multiple * target.entry.weight * lowest_ramp *
            static_cast<double>(settings.overload_window);
 }
 
 bool SlowStart::has_budget(const Target& target) const {
-    const double all = budget(target, context_.now);
-    if (std::isinf(all)) return true;
+    const double total_budget = budget(target, context_.now);
+    if (std::isinf(total_budget)) return true;
     const double size = transfer_times_.largest_mean();
-    const double at_once = (all - mean_within_tail(all, size)) / sharers(target);
-    return debt(target) <= std::max(0.0, at_once - size);
+    const double max_debt = (total_budget - mean_within_tail(total_budget, size)) / sharing_routers(target);
+    return debt(target) <= std::max(0.0, max_debt - size);
 }
 
 double SlowStart::debt(const Target& target) const {
     const auto payment_rate = [&](Micros at) {
         return mean_within_tail(budget(target, at), transfer_times_.largest_mean()) /
-               (sharers(target) * static_cast<double>(context_.settings.overload_window));
+               (sharing_routers(target) * static_cast<double>(context_.settings.overload_window));
     };
-    // The budget rises linearly, so its mean is that of the two ends.
-    const double paid = (payment_rate(target.cold_debt.at) + payment_rate(context_.now)) / 2;
-    return std::max(0.0,
-                    target.cold_debt.value - paid * static_cast<double>(context_.now - target.cold_debt.at));
+    // The budget rises linearly, so its mean over the interval is the mean of both ends.
+    const double mean_rate = (payment_rate(target.cold_debt.at) + payment_rate(context_.now)) / 2;
+    return std::max(
+        0.0, target.cold_debt.value - mean_rate * static_cast<double>(context_.now - target.cold_debt.at));
 }
 
 void SlowStart::charge(Target& target, int class_index) {
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -1,9 +1,10 @@
-// Slow start: how much of its capacity an endpoint has after a start, and how much cold work it may get.
+// Slow start: capacity of an endpoint after its start, and the budget of work it may receive while cold.
 //
-// All routers together can push a cold endpoint over within one window. Each keeps to its part of the budget
-// by a debt that time pays off; in the worst case what all may owe at once and what a window pays off make up
-// the budget. Where a part is less than a request, a router waits for its turn; the first debt is drawn at
-// random, or all would have their turns together.
+// All routers together can overload a cold endpoint within one overload window. Each router stays within its
+// share of the budget by means of a debt that is paid off over time. In the worst case, the sum of the
+// largest debts of all routers and the amount paid off within a window equals the budget. If the share is
+// smaller than one request, the routers take turns; the initial debt is random so that their turns do not
+// coincide.
 #pragma once
 
 #include "routing/target.h"
@@ -16,23 +17,23 @@
     SlowStart(DecisionContext& context, const TransferTimes& transfer_times)
         : context_(context), transfer_times_(transfer_times) {}
 
-    // Part of its capacity that the target has at `at`, from its cold fraction to 1.
+    // Fraction of the target's full capacity at time `at`, from its cold fraction to 1.
     double ramp(const Target& target, Micros at) const;
 
-    // Capacity now, in transfers at full rate; at least 0.1.
+    // Current capacity in transfers at full rate, at least 0.1.
     double capacity(const Target& target) const;
 
-    // Routers that share the target's budget, at least 1.
-    double sharers(const Target& target) const;
+    // Number of routers that share the target's budget, at least 1.
+    double sharing_routers(const Target& target) const;
 
-    // Begins slow start at `since` with a random debt, so that routers don't send their first requests
-    // together.
-    void begin(Target& target, Micros since);
+    // Begins slow start at `started_at` with a random debt, so that the routers do not send their first
+    // requests at the same time.
+    void begin(Target& target, Micros started_at);
 
-    // Whether the target's budget has room for one more request of this router.
+    // Whether the target's budget allows one more request of this router.
     bool has_budget(const Target& target) const;
 
-    // Adds a request of the class to the target's debt while it is in slow start.
+    // Adds a request of the class to the target's debt if it is in slow start.
     void charge(Target& target, int class_index);
 
   private:
--- a/src/routing/transfer_time.cpp
+++ b/src/routing/transfer_time.cpp
@@ -5,16 +5,16 @@
 namespace sumackeel::routing {
 namespace {
 
-// Before any size is known, so many requests of half the latency objective stand for the class: the first
-// sizes may be unusual ones.
+// Number of assumed requests, each taking half the latency objective, that initialize the mean of a class:
+// the first actual sizes may be unusual.
 constexpr double kInitialSamples = 5;
 
 }  // namespace
 
 TransferTimes::TransferTimes(const DecisionContext& context) : context_(context) {
-    for (const ClassSettings& service : context.settings.classes)
+    for (const ClassSettings& class_settings : context.settings.classes)
         sums_.push_back(
-            {kInitialSamples * 0.5 * static_cast<double>(service.latency_objective), kInitialSamples});
+            {kInitialSamples * 0.5 * static_cast<double>(class_settings.latency_objective), kInitialSamples});
 }
 
 double TransferTimes::record(const RequestReceived& arrival) {
--- a/src/routing/transfer_time.h
+++ b/src/routing/transfer_time.h
@@ -1,4 +1,4 @@
-// Transfer time of responses at full rate: of one request, and the mean of each class.
+// Transfer times of responses at full rate: of a single request, and the mean of each class.
 #pragma once
 
 #include <vector>
@@ -11,8 +11,8 @@
   public:
     explicit TransferTimes(const DecisionContext& context);
 
-    // Microseconds that the response takes at full rate; the mean of its class where its size is not known.
-    // A known size enters the mean.
+    // Returns the transfer time of the response at full rate in microseconds, or the mean of its class if the
+    // size is unknown. A known size is added to the mean.
     double record(const RequestReceived& arrival);
 
     // Mean of one class, in microseconds.
