--- a/src/consensus/acknowledged_position.h
+++ b/src/consensus/acknowledged_position.h
@@ -1,6 +1,6 @@
-// How far a voter has acknowledged its log, on disk outside the log. A log that ends before that has lost
-// entries that may be committed; one that ends behind it lost at the most a write that was never
-// acknowledged.
+// The position up to which a voter has acknowledged its log, stored outside the log. A log that ends before
+// this position has lost entries that may be committed; one that ends at or after it can only have lost a
+// write that was never acknowledged.
 #pragma once
 
 #include <compare>
@@ -11,8 +11,8 @@
 
 namespace sumackeel::consensus {
 
-// The last entry of a log. Ordered as Raft compares logs: of two with the same entry, all before it is the
-// same.
+// The last entry of a log. Ordered the way Raft compares logs. If two logs share an entry, all entries before
+// it are identical too.
 struct LogPosition {
     raft_term term = 0;
     raft_index index = 0;  // 0: no entry
@@ -20,19 +20,20 @@
 };
 
 struct AcknowledgedPosition {
-    std::uint64_t history = 0;  // of the log, see RaftDirectory: positions of two histories don't compare
+    std::uint64_t history = 0;  // see RaftDirectory; positions of different histories are not comparable
     LogPosition position;
     bool operator==(const AcknowledgedPosition&) const = default;
 };
 
-// The file `acknowledged` of a directory. All calls block on the disk.
+// The file `acknowledged` in a directory. All calls block on disk I/O.
 class AcknowledgementFile {
   public:
     explicit AcknowledgementFile(std::string directory) : directory_(std::move(directory)) {}
 
-    // All zero where there is none yet. `fault` says why one can't be used, and is empty otherwise.
+    // Returns all zeros if there is no file yet. `fault` is set to the reason if the file is unusable, and is
+    // empty otherwise.
     AcknowledgedPosition read(std::string& fault) const;
-    // Empty once it is on disk, else the error.
+    // Returns an empty string once the position is on disk, otherwise the error.
     std::string write(const AcknowledgedPosition& acknowledged) const;
 
   private:
--- a/src/consensus/acknowledgement_recorder.cpp
+++ b/src/consensus/acknowledgement_recorder.cpp
@@ -11,7 +11,7 @@
     std::string fault;
     acknowledged_ = file_.read(fault);
     if (!fault.empty())
-        log::error("consensus: acknowledged position unreadable reason={}; the log counts as complete",
+        log::error("consensus: acknowledged position unreadable reason={}; treating the log as complete",
                    fault);
     behind_ = acknowledged_.history == history && last < acknowledged_.position;
     if (behind_) {
@@ -29,7 +29,7 @@
     return behind_ ? std::string{} : file_.write(acknowledged_);
 }
 
-// While the log is behind, the position that it has to reach stays on disk.
+// While the log is behind, the position on disk is kept: it is the one the log has to reach.
 void AcknowledgementRecorder::add(FinishedWrite write_done) {
     const LogPosition end = write_done.end;
     finished_.push_back(std::move(write_done));
@@ -40,7 +40,7 @@
     behind_ ? report(finished_.size()) : write();
 }
 
-// Writes that finish meanwhile share the next position.
+// Writes that finish while a position is being written are covered by the next one.
 void AcknowledgementRecorder::write() {
     if (writer_.busy() || finished_.empty() || stopped_) return;
     acknowledged_.position = finished_.back().end;
@@ -72,7 +72,7 @@
 void AcknowledgementRecorder::cancel(Status status) {
     stopped_ = true;
     lock_.reset();
-    for (const FinishedWrite& one : std::exchange(finished_, {})) one.report(status);
+    for (const FinishedWrite& write : std::exchange(finished_, {})) write.report(status);
 }
 
 }  // namespace sumackeel::consensus
--- a/src/consensus/acknowledgement_recorder.h
+++ b/src/consensus/acknowledgement_recorder.h
@@ -1,5 +1,5 @@
-// Reports a write of a voter's log as done once the position that it brings the log to is on disk too, so
-// that a log which has lost entries since is told from one whose last write was cut off.
+// Reports a log write of a voter as done only once the resulting log position is on disk too. This makes it
+// possible to distinguish a log that has lost acknowledged entries from one whose last write was cut off.
 #pragma once
 
 #include <cstdint>
@@ -16,26 +16,28 @@
 
 class AcknowledgementRecorder {
   public:
-    using Status = int;  // the raft library's; 0: done
+    using Status = int;  // a status code of the raft library; 0 is success
     // A write that is on disk.
     struct FinishedWrite {
-        LogPosition end;  // of the log behind it
+        LogPosition end;  // the end of the log after this write
         std::function<void(Status)> report;
     };
 
-    // `on_failed` is called once, from the loop, when a position can't be written.
+    // `on_failed` is called once, from the loop, if a position can't be written.
     AcknowledgementRecorder(net::Loop& loop, AcknowledgementFile file, std::function<void()> on_failed)
         : file_(std::move(file)), on_failed_(std::move(on_failed)), writer_(loop) {}
 
-    // The log, of this history, was loaded and ends at `last`. Blocks on the disk. Writes hold `lock`.
+    // To be called when the log of this history has been loaded and ends at `last`. Blocks on disk I/O.
+    // Writes hold `lock`.
     void on_loaded(std::uint64_t history, LogPosition last, std::shared_ptr<void> lock);
-    // Puts on disk how far the loaded log goes, unless it is behind. Blocks on the disk. Empty, or the error.
+    // Writes the end of the loaded log to disk unless the log is behind. Blocks on disk I/O. Returns an empty
+    // string or the error.
     std::string record_loaded() const;
-    // The log ends before what was acknowledged: entries that may be committed are missing.
+    // True if the log ends before the acknowledged position: entries that may be committed are missing.
     bool is_behind() const { return behind_; }
-    // In the order of the log.
+    // To be called in log order.
     void add(FinishedWrite write);
-    // Reports all that was not reported with this status, and writes no more.
+    // Reports all unreported writes with this status and stops writing positions.
     void cancel(Status status);
     bool is_stuck() const { return writer_.is_stuck(); }
 
@@ -48,7 +50,7 @@
     std::function<void()> on_failed_;
     net::BackgroundTask writer_;
     std::shared_ptr<void> lock_;
-    AcknowledgedPosition acknowledged_;  // as it is on disk, or about to be
+    AcknowledgedPosition acknowledged_;  // on disk, or being written
     std::deque<FinishedWrite> finished_;
     bool behind_ = false;
     bool stopped_ = false;
--- a/src/consensus/consensus_client.cpp
+++ b/src/consensus/consensus_client.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-// Operators' calls are answered within 1 s; what is not committed by then is answered with a failure.
+// Admin API calls are answered within 1 s; a request that is not committed by then is reported as failed.
 constexpr Micros kRequestTimeout = 850'000;
-constexpr Micros kAttemptTimeout = 350'000;  // of one voter
+constexpr Micros kAttemptTimeout = 350'000;  // for one voter
 constexpr Micros kRetryInterval = 60'000;    // while there is no leader
 
 }  // namespace
 
-// A request until it has its result or its time is over.
+// A request that has neither a result nor timed out yet.
 struct ConsensusClient::PendingRequest {
     ConsensusRequest request;
     ResultCallback done;
@@ -161,9 +161,9 @@
         PendingRequest{std::move(request), std::move(done), loop_.clock().now() + kRequestTimeout, false}));
 }
 
-// One attempt after another until the request is committed or its time is over. An attempt whose reply was
-// lost may have been committed; so a repeated request for a lease gives the same lease, and a repeated return
-// changes nothing.
+// Makes one attempt after another until the request is committed or times out. An attempt whose reply was
+// lost may have been committed. Requests are therefore idempotent: repeating a lease request yields the same
+// lease, and repeating a return changes nothing.
 void ConsensusClient::attempt(const PendingPtr& pending) {
     if (pending->finished) return;
     if (loop_.clock().now() >= pending->deadline) return pending->finish(std::nullopt);
@@ -214,7 +214,7 @@
     });
 }
 
-// The leader, or the next voter where none is known.
+// The leader, or the next voter in turn if no leader is known.
 std::string ConsensusClient::next_target() {
     std::string target = leader();
     return target.empty() || target == self() ? follower_.next_voter() : target;
@@ -222,7 +222,7 @@
 
 // --- State ---
 
-// An entry more carries to the voters how far the log is committed.
+// The barrier appends another entry, which carries the commit index to the voters.
 void ConsensusClient::replicate_now() {
     if (is_leader()) voter_.node().read({}, [](const auto&) {});
 }
--- a/src/consensus/consensus_client.h
+++ b/src/consensus/consensus_client.h
@@ -1,6 +1,6 @@
-// A member's access to the replicated log: requests to its leader, and the state that it holds (of
-// src/rollout and src/kv_store). A few of the proxies vote (the raft library, on this loop), the others poll
-// them. Off unless the operator's file has [agreed].
+// A member's access to the replicated log: sends requests to the leader and exposes the replicated state (of
+// src/rollout and src/kv_store). A few proxies are voters (running the raft library on this loop); the others
+// poll them. Disabled unless the operator's file has an [agreed] section.
 #pragma once
 
 #include <functional>
@@ -26,65 +26,67 @@
   public:
     using FleetView = consensus::FleetView;
     using StateCallback = std::function<void(const rollout::State&)>;
-    // Called once, within a second, from the loop. None: no majority answered in time; the request may have
-    // been committed all the same, and repeating it is safe.
+    // Called exactly once, within a second, from the loop. No value: no majority answered in time. The
+    // request may have been committed nevertheless, and repeating it is safe.
     using ResultCallback = RaftNode::ResultCallback;
 
-    // Throws ConsensusError where the folder or the address can't be used. `transport` outlives this.
-    // `wait_for_folder`: another process of this proxy may hold it until that one is asked to end.
+    // Throws ConsensusError if the folder or the address can't be used. `transport` must outlive this object.
+    // `wait_for_folder`: another process of this proxy may hold the folder until it is asked to terminate.
     ConsensusClient(net::Loop& loop, ClusterTransport& transport, const config::Consensus& setup,
                     bool wait_for_folder, FleetView fleet, StateCallback state_changed);
     ~ConsensusClient();
     ConsensusClient(const ConsensusClient&) = delete;
     ConsensusClient& operator=(const ConsensusClient&) = delete;
-    // The operator's file was read anew: budgets hold from the next request on; the leader changes who votes,
-    // one after another. The folder and the election timeout wait for the next start.
+    // To be called after the operator's file has been reloaded. Budgets apply from the next request on, and
+    // the leader changes the voters one at a time. The folder and the election timeout only change on
+    // restart.
     void update_config(const config::Consensus& setup);
 
     void request_lease(rollout::MemberKind kind, const std::string& member, const std::string& by,
                        bool forced, ResultCallback done);
     void return_lease(rollout::MemberKind kind, const std::string& member, const std::string& by,
                       ResultCallback done);
-    // Of the release under way, for whoever upgrades `member`.
+    // Requests a lease of the active release, for the process that upgrades `member`.
     void request_upgrade_lease(const std::string& member, bool forced, ResultCallback done);
     void submit_release_command(const rollout::ReleaseCommand& command, ResultCallback done);
-    // Of a leader alone; none where this member does not lead.
+    // Only the leader can do this; the result has no value if this member is not the leader.
     void submit_release_step(rollout::ReleaseStep step, ResultCallback done);
-    // Of the key-value store; `granted` with the revision, or `rejected` with the reason.
+    // Changes the key-value store; the result is `granted` with the revision, or `rejected` with the reason.
     void submit_change(const kv_store::Transaction& change, ResultCallback done);
     void submit_purge(const kv_store::Purge& purge, ResultCallback done);
-    // A linearizable read: `granted` with its version as the number and its value as the reason, or `none`.
+    // A linearizable read. The result is `granted` with the version as the number and the value as the
+    // reason, or `none` if there is no such key.
     void read(const std::string& key, ResultCallback done);
-    // Makes this one the leader, if it votes: `granted` with the term, or `rejected`.
+    // Makes this member the leader if it is a voter: `granted` with the term, or `rejected`.
     void take_leadership(ResultCallback done);
 
     const kv_store::State& kv_store() const { return view_.kv_store(); }
-    // Called after each change of it.
+    // Sets the callback that runs after each change of the key-value store.
     void on_kv_store_change(std::function<void()> callback) { kv_store_changed_ = std::move(callback); }
-    // Of a leader: an entry applied here is applied by all voters in touch at once, not with the next
+    // On the leader: makes the reachable voters apply what is committed here at once instead of with the next
     // heartbeat.
     void replicate_now();
-    // Of a member that does not vote, or knows no leader: polls that voter now.
+    // Polls that voter now if this member is not a voter or knows no leader.
     void poll_now(const std::string& member);
     std::optional<base::Micros> confirmed_age() const { return view_.confirmed_age(); }
 
-    // The result that a request for a lease of `member` would have now, by what is known here; none: no such
-    // member is known.
+    // The result that a lease request for `member` would have now, based on the state known here; no value if
+    // the member is unknown.
     std::optional<rollout::CommandResult> explain(const std::string& member) const;
     bool is_leader() const { return voter_.is_leader(); }
-    // What a proxy runs, by the latest that is known here.
+    // The version a proxy is running, by the latest information known here.
     rollout::RunningVersion running_version_of(const cluster::MemberRecord& record) const {
         return view_.running_version_of(record);
     }
     const rollout::State& state() const { return view_.state(); }
     bool is_known() const { return view_.is_known(); }
-    std::string leader() const { return view_.leader(); }  // a member's name; empty: none is known
+    std::string leader() const { return view_.leader(); }  // a member's name; empty if none is known
     std::string as_json() const;
-    // Stops voting, and releases the folder once the log is closed.
+    // Stops voting and releases the folder once the log is closed.
     void close();
-    // The same at once; the loop is run until that is done. No callbacks from then on.
+    // Does the same synchronously by running the loop until it is done. No callbacks run afterwards.
     void close_now();
-    bool is_disk_stuck() const { return voter_.is_disk_stuck(); }  // close_now() would wait for it
+    bool is_disk_stuck() const { return voter_.is_disk_stuck(); }  // if so, close_now() would block on it
 
   private:
     struct PendingRequest;
--- a/src/consensus/consensus_error.h
+++ b/src/consensus/consensus_error.h
@@ -8,12 +8,12 @@
 namespace sumackeel::consensus {
 
 enum class ConsensusErrorCode : std::uint8_t {
-    malformed_message,   // bytes from another member that can't be decoded
-    unreadable_history,  // the file with the log's history can't be read
-    log_not_opened,      // the log's directory or the voter's address can't be used
+    malformed_message,   // a message from another member can't be decoded
+    unreadable_history,  // the log's history file can't be read
+    log_not_opened,      // the log directory or the voter's address is unusable
 };
 
-// The text is for operators; the code is for callers.
+// The text is meant for operators, the code for callers.
 class ConsensusError : public std::runtime_error {
   public:
     ConsensusError(ConsensusErrorCode code, const std::string& text)
--- a/src/consensus/consensus_messages.cpp
+++ b/src/consensus/consensus_messages.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxElements = 16;  // of one message
+constexpr std::size_t kMaxElements = 16;  // per message
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     reply.done = reader.next<bool>();
     reply.leader = reader.text(rollout::kMaxNameLength);
     reply.body = reader.text(kMaxCallBytes);
-    if (reader.remaining() < 2) return reply;  // of the version before the key-value store
+    if (reader.remaining() < 2) return reply;  // sent by a version without the key-value store
     reply.history = reader.next<std::uint64_t>();
     reply.kv_store_update = reader.text(kMaxCallBytes);
     return reply;
--- a/src/consensus/consensus_messages.h
+++ b/src/consensus/consensus_messages.h
@@ -1,5 +1,5 @@
-// Messages between members and the voters of the replicated log: MessagePack over the cluster's streams.
-// Decoders throw base::DecodeError or ConsensusError on malformed bytes.
+// Messages between members and the voters of the replicated log: MessagePack over the cluster transport's
+// streams. Decoders throw base::DecodeError or ConsensusError on malformed input.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 using cluster_transport::kMaxCallBytes;
 
-// What is requested of the leader; the numbers are those on the wire.
+// The kinds of requests to the leader; the numeric values are the ones on the wire.
 enum class RequestKind : std::uint8_t {
     request_lease,
     return_lease,
@@ -24,36 +24,36 @@
 };
 constexpr std::size_t kMaxBodyBytes = 1 << 20;
 
-// The verbs of the calls, as they are on the wire.
+// The verbs of the calls, as sent on the wire.
 constexpr const char* kRequestVerb = "wish";
 constexpr const char* kStateVerb = "state";
 
-// A voter's reply to a request, or to a question for its state.
+// A voter's reply to a request or to a state poll.
 struct ConsensusReply {
-    bool done = false;                 // a request: a result is in `body`; a state: it is up to date
+    bool done = false;                 // request: `body` has a result; state poll: the state is up to date
     std::string leader, body;          // the leader's name, empty if unknown; an encoded result or state
     std::uint64_t history = 0;         // of the voter's log
-    std::string kv_store_update = {};  // of a state: what the key-value store has beyond the known revision
+    std::string kv_store_update = {};  // state poll: key-value changes since the known revision
 };
 std::string encode(const ConsensusReply& reply);
 ConsensusReply decode_reply(const std::string& body);
 
-// The revisions that a member has when it asks for the state. On the wire "REVISION KV_REVISION HISTORY"; the
-// version before the key-value store sends the first alone.
+// The revisions that a member already has when it polls for the state. On the wire "REVISION KV_REVISION
+// HISTORY"; the version before the key-value store only sends the first.
 struct KnownRevision {
     std::uint64_t revision = 0, kv_store = 0, history = 0;
 };
 std::string encode(const KnownRevision& known);
 KnownRevision decode_known_revision(const std::string& body);
 
-// A request, with what only its sender knows.
+// A request to the leader, including the facts that only its sender knows.
 struct ConsensusRequest {
     RequestKind kind = RequestKind::request_lease;
     bool forced = false;
     rollout::MemberKind member_kind = rollout::MemberKind::proxy;
     std::string member = {}, by = {};      // for a read, `member` is the key
-    std::string body = {};                 // a command, as the log holds it
-    rollout::RunningVersion running = {};  // of a proxy that requests its own lease
+    std::string body = {};                 // a command, as encoded in the log
+    rollout::RunningVersion running = {};  // set by a proxy that requests its own lease
 
     std::string encode() const;
     static ConsensusRequest decode(const std::string& bytes);
--- a/src/consensus/consensus_server.cpp
+++ b/src/consensus/consensus_server.cpp
@@ -51,7 +51,7 @@
                        });
 }
 
-// Revisions of another history say nothing of what that member lacks: it gets the complete state.
+// A revision of another history does not tell what that member is missing, so it gets the complete state.
 std::string ConsensusServer::state_reply(const KnownRevision& known) const {
     const std::string leader = own_leader();
     const std::uint64_t history = voter_.node().history();
--- a/src/consensus/consensus_server.h
+++ b/src/consensus/consensus_server.h
@@ -1,5 +1,4 @@
-// Answers the calls of other members: their requests where this one leads, and polls for the state where it
-// votes.
+// Serves calls from other members: requests if this member is the leader, state polls if it is a voter.
 #pragma once
 
 #include <string>
@@ -14,7 +13,7 @@
 
 class ConsensusServer {
   public:
-    // Handles the calls until close() or its end; all references outlive it.
+    // Handles calls until close() or destruction; all references must outlive this object.
     ConsensusServer(ClusterTransport& transport, LocalVoter& voter, const StateView& view,
                     RequestProcessor& processor);
     ~ConsensusServer();
@@ -28,8 +27,8 @@
                  const Respond& respond);
     void on_request(const std::string& body, const Respond& respond);
     std::string state_reply(const KnownRevision& known) const;
-    // The leader, as the log itself shows it: what others report of a leader is not passed on, or it would
-    // outlive that leader.
+    // The leader according to this member's own log. Leaders reported by others are not passed on: members
+    // would keep repeating the name to each other after that leader is gone.
     std::string own_leader() const;
 
     ClusterTransport& transport_;
--- a/src/consensus/consensus_status.cpp
+++ b/src/consensus/consensus_status.cpp
@@ -35,7 +35,7 @@
     return json;
 }
 
-// Members that are out, with or without a lease.
+// The unavailable members, with or without a lease.
 Json::Value unavailable_json(const FleetView& fleet) {
     Json::Value list(Json::arrayValue);
     for (const MemberKind kind : {MemberKind::proxy, MemberKind::pop_cache})
@@ -92,7 +92,7 @@
     root["forced"] = Json::Value(Json::arrayValue);
     for (const rollout::Lease& lease : view.state().forced()) root["forced"].append(lease_json(lease));
     root["out"] = unavailable_json(fleet);
-    // `rollout simulate` works with these two.
+    // `rollout simulate` reads these two fields.
     root["rules"] = rules_json(setup.proxies);
     for (const rollout::FleetMember& member : fleet(MemberKind::proxy))
         root["proxies"].append(proxy_json(member));
--- a/src/consensus/consensus_status.h
+++ b/src/consensus/consensus_status.h
@@ -10,7 +10,7 @@
 
 namespace sumackeel::consensus {
 
-// One line. `self`: this member's name.
+// Returns a single line. `self` is this member's name.
 std::string status_json(const std::string& self, const LocalVoter& voter, const StateView& view,
                         const config::Consensus& setup, const FleetView& fleet);
 
--- a/src/consensus/local_voter.cpp
+++ b/src/consensus/local_voter.cpp
@@ -19,14 +19,14 @@
 
 constexpr Micros kTickInterval = 1'000'000;
 constexpr Micros kConfirmInterval = 50'000, kConfirmTimeout = 350'000;
-constexpr Micros kLeaderlessTimeout = 3'000'000;  // after this a voter polls the others
+constexpr Micros kLeaderlessTimeout = 3'000'000;  // a voter without a leader then polls the others
 constexpr Micros kReopenInterval = 200'000;       // while another process holds the directory
 constexpr std::chrono::seconds kDirectoryCheckTimeout{2};
 
 void log_unreadable(const std::string& folder, const std::string& reason) {
     log::error(
-        "consensus: log unreadable folder={} reason={}; its entries are archived, a leader of the others "
-        "sends them",
+        "consensus: log unreadable folder={} reason={}; archiving its entries and refetching them from the "
+        "leader",
         folder, reason);
 }
 
@@ -46,21 +46,22 @@
     close_now();
 }
 
-// Two processes at one log would ruin it. The one before this one releases the directory when it is asked to
-// end; until then this one polls the others. One that lost its log waits until the others have a leader.
+// Two processes writing to one log would corrupt it. The previous process releases the directory when it is
+// asked to terminate; until then this one polls the others. A voter that has lost its log waits until the
+// others have a leader.
 void LocalVoter::start(bool wait_for_folder) {
     if (!setup_.voters.contains(self())) return;
     node_ = make_node();
     const bool lost_log = node_->has_lost_log();
     if (lost_log)
         log::error(
-            "consensus: log lost member={} folder={} reason=it voted before; waiting for a leader of "
-            "the others",
+            "consensus: log lost member={} folder={} reason=the voter has voted before but has no log; "
+            "waiting for a leader among the other voters",
             self(), setup_.folder);
     const auto checked = base::run_with_timeout(
         kDirectoryCheckTimeout, [folder = setup_.folder] { return check_log_directory(folder); });
     if (!checked)
-        log::error("consensus: folder not answering folder={}; this proxy votes once it does", setup_.folder);
+        log::error("consensus: folder not answering folder={}; voting starts once it does", setup_.folder);
     if (!checked || wait_for_folder || lost_log) {
         open_later();
     } else if (const std::string error = open_at_start(); !error.empty()) {
@@ -76,7 +77,7 @@
     return node_->is_log_unreadable() ? reopen_without_entries(error) : error;
 }
 
-// A leader of the others sends the entries again, and the proxy serves meanwhile.
+// The leader among the other voters resends the entries; the proxy serves requests in the meantime.
 std::string LocalVoter::reopen_without_entries(const std::string& reason) {
     log_unreadable(setup_.folder, reason);
     entries_archived_ = true;
@@ -94,7 +95,7 @@
         return transport_.reachable_address(address);
     };
     hooks.is_alive = [this](const std::string& voter) { return is_alive(voter); };
-    // While a voter's log is behind the copy of a follower, the copy counts.
+    // While the voter's log is behind the follower's copy, the copy is authoritative.
     hooks.state_changed = [this] {
         if (node_ && node_->state().revision() > follower_.state().revision())
             hooks_.state_changed(node_->state());
@@ -109,8 +110,10 @@
     known_voters_.insert(setup_.voters.begin(), setup_.voters.end());
     if (!setup_.voters.contains(self()) || archiving_ || (node_ && !node_->stopped())) return;
     if (node_ && node_->closing())
-        return log::warn("consensus: log still closing folder={}; reload the file once more", setup_.folder);
-    // Named as a voter while it runs, or its log failed. There is a log already: the leader sends it.
+        return log::warn("consensus: log still closing folder={}; reload the configuration again",
+                         setup_.folder);
+    // This member became a voter while running, or its log failed. The cluster already has a log, which the
+    // leader sends.
     log_start_ = LogStart::join;
     node_ = make_node();
     if (!tick_timer_) tick();
@@ -125,9 +128,9 @@
     tick_timer_ = loop_.timers().schedule(loop_.clock().now() + kTickInterval, [this] { tick(); });
 }
 
-// A voter that has just started may lack entries that were committed: a lease that was granted right before a
-// loss of power is on the disks of a majority alone. So its state counts once it leads and has applied its
-// log, or once the leader has sent its own.
+// A voter that has just started may lack committed entries: a lease granted right before a power loss is only
+// on the disks of a majority. Its state therefore counts as known only once it is the leader and has applied
+// its log, or once the leader has sent its own state.
 void LocalVoter::confirm_state() {
     confirm_timer_.reset();
     if (follower_.is_known()) return;
@@ -143,9 +146,9 @@
     node_->propose(kv_store::encode(kv_store::ExpireKeys{loop_.clock().now()}), [](const auto&) {});
 }
 
-// A voter that has known no leader for a while was cut off, or removed: a log sends nothing to those that it
-// no longer names. It polls the others as one that does not vote. If the file names it no more, and another
-// reports a leader, it was removed and gives its log up.
+// A voter that has known no leader for a while is partitioned or was removed: the leader sends nothing to
+// members outside the configuration. It polls the others like a member that is not a voter. If the operator's
+// file no longer names it and another member reports a leader, it was removed and closes its log.
 void LocalVoter::check_leader() {
     const Micros now = loop_.clock().now();
     if (!votes() || !node_->leader().empty()) {
@@ -156,7 +159,7 @@
     if (leader_known_at_ == 0) leader_known_at_ = now;
     if (now - leader_known_at_ < kLeaderlessTimeout) return;
     if (!follower_.is_polling()) {
-        follower_.set_leader({});  // from now on the replies count
+        follower_.set_leader({});  // forget the old one; the poll replies name the current leader
         follower_.forget_known();
         follower_.start_polling();
     }
@@ -167,13 +170,13 @@
     follower_.adopt(*node_);
 }
 
-// Another voter's log was forced to go on without this one: what this log holds is void. Called from within
-// the transport.
+// An operator forced another voter's log to continue without this one, which invalidates this log. Called
+// from within the transport.
 void LocalVoter::on_newer_history(std::uint64_t history) {
     if (std::exchange(archiving_, true)) return;
     log::error(
-        "consensus: log outdated folder={} history={} reason=another voter has a later history; it is "
-        "archived",
+        "consensus: log outdated folder={} history={} reason=another voter has a later history; archiving "
+        "the log",
         setup_.folder, history);
     const std::weak_ptr<bool> alive = alive_;
     loop_.timers().schedule(loop_.clock().now(), [this, alive, history] {
@@ -199,7 +202,7 @@
     archive_log(move_log_entries);
 }
 
-// Once the log is closed, its files go to a folder of their own, for whoever wants to look.
+// Once the log is closed, moves its files to a separate folder, where they can be inspected.
 void LocalVoter::archive_log(MoveFiles move) {
     if (node_->closing() || directory_task_.busy()) {
         const std::weak_ptr<bool> alive = alive_;
@@ -216,8 +219,8 @@
 
 void LocalVoter::on_log_archived(const std::string& error) {
     if (!error.empty())
-        return log::error("consensus: archiving failed folder={} reason={}; this proxy does not vote",
-                          setup_.folder, error);
+        return log::error("consensus: archiving failed folder={} reason={}; not voting", setup_.folder,
+                          error);
     log::warn("consensus: log archived folder={}", setup_.folder);
     archiving_ = false;
     log_start_ = LogStart::join;
@@ -249,14 +252,13 @@
     });
 }
 
-// The directory has just been read, and no other process holds it.
+// Called when the directory has just been read and no other process holds it.
 void LocalVoter::open_log() {
     const bool needs_leader = node_->has_lost_log() || log_start_ == LogStart::join;
     if (needs_leader && (!follower_.is_known() || follower_.leader().empty())) return open_later();
     if (const std::string error = node_->open(log_start_); !error.empty()) {
         if (node_->is_log_unreadable() && !entries_archived_) return archive_unreadable_entries(error);
-        log::error("consensus: log not opened folder={} reason={}; this proxy does not vote", setup_.folder,
-                   error);
+        log::error("consensus: log not opened folder={} reason={}; not voting", setup_.folder, error);
         return node_->stop();
     }
     follower_.stop_polling();
--- a/src/consensus/local_voter.h
+++ b/src/consensus/local_voter.h
@@ -1,5 +1,5 @@
-// This member's own Raft node: when it opens its log, when it stops voting, and what becomes of a log that
-// is void. While it does not vote, or knows no leader, the StateFollower polls the others.
+// Manages this member's own Raft node: when it opens its log, when it stops voting, and how an invalidated
+// log is archived. While this member is not a voter or knows no leader, the StateFollower polls the others.
 #pragma once
 
 #include <functional>
@@ -19,30 +19,30 @@
 
 class LocalVoter {
   public:
-    // `setup`, as it stands now, and the others outlive this.
+    // All references must outlive this object; `setup` always has the current settings.
     LocalVoter(net::Loop& loop, ClusterTransport& transport, const config::Consensus& setup,
                StateFollower& follower, StateFollower::Hooks hooks);
     ~LocalVoter();
     LocalVoter(const LocalVoter&) = delete;
     LocalVoter& operator=(const LocalVoter&) = delete;
 
-    // Opens the log if the operator's file names this member as a voter. Throws ConsensusError where the
+    // Opens the log if the operator's file names this member as a voter. Throws ConsensusError if the
     // directory or the address can't be used. `wait_for_folder`: another process of this proxy may hold it.
     void start(bool wait_for_folder);
-    // The operator's file was read anew; `setup` has changed.
+    // To be called after the operator's file was reloaded and `setup` has changed.
     void on_config_changed();
 
     bool votes() const { return node_ && node_->is_voter(); }
     bool is_leader() const { return node_ && node_->is_leader(); }
-    // Only while it votes.
+    // Only valid while votes() is true.
     RaftNode& node() { return *node_; }
     const RaftNode& node() const { return *node_; }
 
-    // Stops voting, and releases the directory once the log is closed.
+    // Stops voting and releases the directory once the log is closed.
     void close();
-    // The same at once; the loop is run until that is done. No callbacks from then on.
+    // Does the same synchronously by running the loop until it is done. No callbacks run afterwards.
     void close_now();
-    bool is_disk_stuck() const;  // close_now() would wait for it
+    bool is_disk_stuck() const;  // if so, close_now() would block on it
 
   private:
     std::unique_ptr<RaftNode> make_node();
@@ -55,7 +55,8 @@
     void confirm_state();
     void on_newer_history(std::uint64_t history);
     void archive_unreadable_entries(const std::string& reason);
-    // Moves files of the log into the folder `archive`; empty, or the error. Runs on another thread.
+    // Moves files of the log into the folder `archive`; returns an empty string or the error. Runs on another
+    // thread.
     using MoveFiles = std::function<std::string(const std::string& folder, const std::string& archive)>;
     void archive_log(MoveFiles move);
     void on_log_archived(const std::string& error);
@@ -70,15 +71,15 @@
     const config::Consensus& setup_;
     StateFollower& follower_;
     StateFollower::Hooks hooks_;
-    std::map<std::string, std::string> known_voters_;  // by name: also those that the file named before
-    net::BackgroundTask directory_task_;               // only while no log is open there
-    std::unique_ptr<RaftNode> node_;                   // null: this one has not been named as a voter
-    LogStart log_start_ = LogStart::bootstrap;         // join: it was named as a voter while it ran
-    bool archiving_ = false;                           // its log is of an older history, or unreadable
-    bool entries_archived_ = false;                    // once: they could not be read
-    base::Micros leader_known_at_ = 0;                 // 0: not yet
+    std::map<std::string, std::string> known_voters_;  // addresses by name, including former voters
+    net::BackgroundTask directory_task_;               // runs only while no log is open in the directory
+    std::unique_ptr<RaftNode> node_;                   // null if this member was never named as a voter
+    LogStart log_start_ = LogStart::bootstrap;         // join if it became a voter while running
+    bool archiving_ = false;                           // the log is of an older history or unreadable
+    bool entries_archived_ = false;                    // unreadable entries are archived at most once
+    base::Micros leader_known_at_ = 0;                 // 0: never
     std::optional<base::TimerQueue::Key> tick_timer_;
-    std::optional<base::TimerQueue::Key> confirm_timer_;  // while the state is not known
+    std::optional<base::TimerQueue::Key> confirm_timer_;  // set until the state is known
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/consensus/raft_directory.cpp
+++ b/src/consensus/raft_directory.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxFileBytes = 256 << 20;  // a snapshot is the largest
+constexpr std::size_t kMaxFileBytes = 256 << 20;  // snapshots are the largest files
 constexpr std::size_t kMaxHistoryBytes = 64;
 constexpr const char* kLockFile = "lock";
 constexpr const char* kVotedFile = "voted";  // in the marker directory
@@ -30,13 +30,15 @@
     return std::filesystem::exists(path, ignored);
 }
 
-// The library's names: open-N, FIRST-LAST by numbers alone, and snapshot-TERM-INDEX-TIME with .meta or none.
+// The raft library's file names are open-N, FIRST-LAST (numbers only) and snapshot-TERM-INDEX-TIME with or
+// without the suffix .meta.
 bool holds_entries(std::string_view name) {
     return name.starts_with("open-") || name.starts_with("snapshot-") ||
            name.find_first_not_of("0123456789-") == std::string_view::npos;
 }
 
-// Why a file that may be whole can't be read now; empty: none is so. A disk's own error is damage.
+// The reason why a possibly intact file can't be read now; empty if there is none. Disk I/O errors (EIO) and
+// oversized files (EFBIG) count as damage, not as temporary faults.
 std::string find_temporary_fault(const std::string& path) {
     std::error_code error;
     for (std::filesystem::directory_iterator it(path, error), end; !error && it != end; it.increment(error)) {
--- a/src/consensus/raft_directory.h
+++ b/src/consensus/raft_directory.h
@@ -1,8 +1,8 @@
-// The files that stand beside the library's own in a voter's log directory, and the marker that shows that
-// this voter has had a log. All calls block on the disk.
+// The files in a voter's log directory besides the raft library's own, and the marker which shows that this
+// voter has had a log before. All calls block on disk I/O.
 //
-// History: logs that began by themselves have history 0; each start that an operator forced begins a later
-// one. Voters of different histories don't speak with each other.
+// History: an ordinarily bootstrapped log has history 0; each start forced by an operator begins a later one.
+// Voters of different histories refuse to communicate with each other.
 #pragma once
 
 #include <cstdint>
@@ -12,40 +12,39 @@
 
 class RaftDirectory {
   public:
-    // `marker_directory` lies outside `path`, so that the marker outlives the log.
+    // `marker_directory` is outside `path`, so that the marker survives the loss of the log.
     RaftDirectory(std::string path, std::string marker_directory)
         : path_(std::move(path)), marker_directory_(std::move(marker_directory)) {}
 
     const std::string& path() const { return path_; }
     bool has_log() const;
-    // There was a log before, and the votes recorded in it are lost with it.
+    // True if there was a log before; the votes recorded in it are lost with it.
     bool has_lost_log() const;
-    // Empty on success, else the error.
+    // Returns an empty string on success, otherwise the error.
     std::string mark_log_started() const;
 
-    // Throws ConsensusError where the file can't be read; 0 where there is none.
+    // Returns 0 if there is no file. Throws ConsensusError if it can't be read.
     std::uint64_t read_history() const;
-    // Empty on success, else the error.
+    // Returns an empty string on success, otherwise the error.
     static std::string write_history(const std::string& path, std::uint64_t history);
 
-    // An operator has asked for a start without the other voters.
+    // True if an operator has requested a start without the other voters.
     bool is_start_forced() const;
-    // Keeps the operator's marker under another name, so that the next start is an ordinary one. Returns
-    // that name.
+    // Renames the operator's marker, so that the next start is an ordinary one. Returns the new path.
     std::string archive_force_marker(std::int64_t now) const;
 
   private:
     std::string path_, marker_directory_;
 };
 
-// Reads every file, so that a disk that hangs shows itself here: not to be called on the loop. Empty: the
-// directory can be opened; else the error.
+// Reads every file, so that a hanging disk blocks here; must not be called on the loop. Returns an empty
+// string if the directory can be opened, otherwise the error.
 std::string check_log_directory(const std::string& path);
-// Moves all files but the lock into `archive`. Empty on success, else the error.
+// Moves all files except the lock into `archive`. Returns an empty string on success, otherwise the error.
 std::string move_log_files(const std::string& path, const std::string& archive);
-// Moves the entries and the snapshots alone: term, vote and history stay. Moves nothing where a file can't be
-// read for want of memory, descriptors or rights, as the log may then be whole. Empty on success, else the
-// error.
+// Moves only the entries and the snapshots; term, vote and history stay. Moves nothing if a file can't be
+// read for lack of memory, descriptors or permissions, as the log may then be intact. Returns an empty string
+// on success, otherwise the error.
 std::string move_log_entries(const std::string& path, const std::string& archive);
 
 }  // namespace sumackeel::consensus
--- a/src/consensus/raft_disk.cpp
+++ b/src/consensus/raft_disk.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// With a disk that hangs the library goes on trying to be elected; its messages would be out of date by then.
+// With a hanging disk the library keeps trying to get elected. Beyond this limit its messages are dropped;
+// they would be outdated by the time they could be sent.
 constexpr std::size_t kMaxDeferredOperations = 1'024;
 
 LogPosition last_of(const raft_snapshot* snapshot, raft_index first, const raft_entry* entries,
@@ -17,17 +18,18 @@
 
 }  // namespace
 
-// The library (0.15) dereferences a null pointer when an append of its own as leader fails on disk. So it is
-// never notified: the log is closed instead, and this member polls the others from then on.
+// The library (0.15) dereferences a null pointer if the disk write of a leader's own append fails. The
+// library is therefore never notified of such a failure: the log is closed instead, and this member polls the
+// others from then on.
 struct RaftDisk::Append {
     raft_io_append request{};
     RaftDisk* disk = nullptr;
     raft_io_append* library_request = nullptr;
     raft_io_append_cb done = nullptr;
-    LogPosition end;  // of the log behind it
+    LogPosition end;  // the end of the log after this append
 };
 
-// Of a snapshot that replaces the whole log.
+// The write of a snapshot that replaces the whole log.
 struct RaftDisk::SnapshotPut {
     raft_io_snapshot_put request{};
     RaftDisk* disk = nullptr;
@@ -45,7 +47,7 @@
     : loop_(loop),
       on_failed_(std::move(on_failed)),
       state_(std::make_shared<State>()),
-      ballot_writer_(loop),
+      hard_state_writer_(loop),
       recorder_(loop, std::move(acknowledgement_file), [this] { fail(RAFT_IOERR); }) {
     state_->owner = this;
 }
@@ -69,13 +71,13 @@
                  raft_entry* entries[],
                  std::size_t* count) { return of(on).load(term, vote, snapshot, first, entries, count); };
     io.set_term = [](raft_io* on, raft_term term) {
-        of(on).unwritten_ballot_ = {.term = term, .vote = {}};
-        of(on).write_ballot();
+        of(on).unwritten_hard_state_ = {.term = term, .vote = {}};
+        of(on).write_hard_state();
         return 0;
     };
     io.set_vote = [](raft_io* on, raft_id id) {
-        of(on).unwritten_ballot_.vote = id;
-        of(on).write_ballot();
+        of(on).unwritten_hard_state_.vote = id;
+        of(on).write_hard_state();
         return 0;
     };
     io.send = [](raft_io* on, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
@@ -101,32 +103,32 @@
     return status;
 }
 
-// The library's own calls run on another thread here. That is safe only because they touch nothing but the
-// two files of the ballot and the library's copy of it, which is read at the start alone.
-void RaftDisk::write_ballot() {
-    if (ballot_writer_.busy() || unwritten_ballot_.empty() || failed_ || closed_) return;
+// Runs the library's own calls on another thread. This is safe only because they access nothing but the two
+// files that hold term and vote, and the library's copy of them, which is only read at startup.
+void RaftDisk::write_hard_state() {
+    if (hard_state_writer_.busy() || unwritten_hard_state_.empty() || failed_ || closed_) return;
     const auto status = std::make_shared<Status>(0);
     const auto set_term = library_calls_.set_term;
     const auto set_vote = library_calls_.set_vote;
-    ballot_writer_.run(
-        [state = state_, ballot = std::exchange(unwritten_ballot_, {}), status, set_term, set_vote] {
-            if (ballot.term) *status = set_term(&state->io, *ballot.term);
-            if (*status == 0 && ballot.vote) *status = set_vote(&state->io, *ballot.vote);
+    hard_state_writer_.run(
+        [state = state_, hard_state = std::exchange(unwritten_hard_state_, {}), status, set_term, set_vote] {
+            if (hard_state.term) *status = set_term(&state->io, *hard_state.term);
+            if (*status == 0 && hard_state.vote) *status = set_vote(&state->io, *hard_state.vote);
         },
-        [this, status] { on_ballot_written(*status); });
+        [this, status] { on_hard_state_written(*status); });
 }
 
-void RaftDisk::on_ballot_written(Status status) {
+void RaftDisk::on_hard_state_written(Status status) {
     if (status != 0) return fail(status);
-    write_ballot();
+    write_hard_state();
     run_deferred();
 }
 
 void RaftDisk::run_deferred() {
-    while (!deferred_.empty() && !ballot_writer_.busy() && !failed_) {
-        const DeferredOperation one = std::move(deferred_.front());
+    while (!deferred_.empty() && !hard_state_writer_.busy() && !failed_) {
+        const DeferredOperation operation = std::move(deferred_.front());
         deferred_.pop_front();
-        if (const Status status = one.run(); status != 0) one.fail(status);
+        if (const Status status = operation.run(); status != 0) operation.fail(status);
     }
 }
 
@@ -142,7 +144,8 @@
     return 0;
 }
 
-// Others that lack what this voter acknowledged must not be elected by its vote, nor it by theirs.
+// While this voter lacks entries that it acknowledged, its vote must not elect a candidate that lacks them
+// too, and it must not get elected itself.
 int RaftDisk::send_now(raft_io_send* request, const raft_message& message, raft_io_send_cb done) {
     if (!recorder_.is_behind()) return library_calls_.send(io(), request, &message, done);
     if (message.type == RAFT_IO_REQUEST_VOTE) return RAFT_CANCELED;
@@ -212,7 +215,8 @@
     return 0;
 }
 
-// Without trailing entries it is the leader's, and replaces the log; else one of what this log holds.
+// A snapshot without trailing entries was sent by the leader and replaces the log; otherwise it is a snapshot
+// of this voter's own state.
 int RaftDisk::put_snapshot_now(unsigned trailing, raft_io_snapshot_put* request,
                                const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
     if (trailing > 0) return library_calls_.snapshot_put(io(), trailing, request, snapshot, done);
@@ -244,13 +248,13 @@
 bool RaftDisk::is_stuck() const {
     const bool appends =
         appends_in_flight_ > 0 && loop_.clock().now() - last_progress_at_ > net::BackgroundTask::kStuckAfter;
-    return appends || ballot_writer_.is_stuck() || recorder_.is_stuck();
+    return appends || hard_state_writer_.is_stuck() || recorder_.is_stuck();
 }
 
 void RaftDisk::close() {
     closed_ = true;
     recorder_.cancel(RAFT_CANCELED);
-    for (const DeferredOperation& one : std::exchange(deferred_, {})) one.fail(RAFT_CANCELED);
+    for (const DeferredOperation& operation : std::exchange(deferred_, {})) operation.fail(RAFT_CANCELED);
 }
 
 void RaftDisk::release() {
--- a/src/consensus/raft_handshake.cpp
+++ b/src/consensus/raft_handshake.cpp
@@ -31,7 +31,7 @@
     return {bytes.data(), bytes.size()};
 }
 
-// What the code of a hello covers.
+// The bytes covered by the MAC of a hello.
 std::string signed_part(const Greeting& greeting, const HelloBytes& bytes) {
     return std::string(view(greeting).substr(0, kNonceBytes))
         .append(view(bytes).substr(0, kHelloBytes - kMacBytes));
--- a/src/consensus/raft_handshake.h
+++ b/src/consensus/raft_handshake.h
@@ -1,6 +1,6 @@
-// The handshake of two voters, before the first byte of the log. Who
-// listens sends a greeting: a nonce and the history of its log. Who connects replies with a hello: its id,
-// its address and its history. Each ends with a code by the cluster's key; that of the hello covers the
+// The handshake between two voters, which precedes the Raft messages on a connection. The listening side
+// sends a greeting: a nonce and the history of its log. The connecting side replies with a hello: its id, its
+// address and its history. Each ends with a MAC by the cluster's key; the MAC of the hello also covers the
 // nonce.
 #pragma once
 
@@ -15,7 +15,7 @@
 namespace sumackeel::consensus {
 
 constexpr std::size_t kNonceBytes = 16, kMacBytes = 16, kNumberBytes = 8;
-constexpr std::size_t kHelloAddressBytes = 64;  // padded with zeros, the last byte among them
+constexpr std::size_t kHelloAddressBytes = 64;  // zero-padded; the last byte is always zero
 constexpr std::size_t kGreetingBytes = kNonceBytes + kNumberBytes + kMacBytes;
 constexpr std::size_t kHelloBytes = kNumberBytes + kHelloAddressBytes + kNumberBytes + kMacBytes;
 
@@ -24,11 +24,11 @@
 
 struct Hello {
     std::uint64_t id = 0;
-    std::string address;  // longer ones are cut
+    std::string address;  // truncated to kHelloAddressBytes - 1 bytes
     std::uint64_t history = 0;
 };
 
-// `greeting` has its nonce already.
+// Expects the nonce at the start of `greeting` and fills in the rest.
 void encode_greeting(const cluster_transport::MessageCodec& codec, std::uint64_t history, Greeting& greeting);
 bool verify_greeting(const cluster_transport::MessageCodec& codec, const Greeting& greeting);
 std::uint64_t history_of(const Greeting& greeting);
--- a/src/consensus/raft_library.h
+++ b/src/consensus/raft_library.h
@@ -1,4 +1,4 @@
-// The raft library's headers, which do not say themselves that they are C.
+// The raft library's headers, which lack their own extern "C".
 #pragma once
 
 #include <uv.h>
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -19,12 +19,13 @@
 
 namespace {
 
-constexpr unsigned kSnapshotThresholdEntries = 512, kSnapshotTrailingEntries = 128;  // some KB each at most
+constexpr unsigned kSnapshotThresholdEntries = 512,
+                   kSnapshotTrailingEntries = 128;  // of a few KB each at most
 constexpr std::size_t kSegmentBytes = 1 << 20;
 constexpr unsigned kConnectRetryMs = 200;
 constexpr unsigned kMinHeartbeatMs = 20, kHeartbeatsPerElectionTimeout = 5;
-// A voter that is taking a snapshot of its own ignores one that is sent to it, and until this has passed the
-// leader sends it nothing more. With the library's 30 s that voter would lag for as long.
+// A voter that is taking its own snapshot ignores one that is sent to it, and the leader sends it nothing
+// else until this timeout has passed. With the library's default of 30 s the voter would lag for that long.
 constexpr unsigned kInstallSnapshotTimeoutMs = 3'000;
 
 struct ApplyRequest {
@@ -60,8 +61,8 @@
     bool closed = false;
     bool library_open = false;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    raft_term led_term = 0;                  // the last in which it was seen to lead
-    raft_index last_index_when_elected = 0;  // of that term, or a later one
+    raft_term led_term = 0;                  // the last term in which leads_caught_up() saw it as leader
+    raft_index last_index_when_elected = 0;  // last log index seen in that term; may include later entries
 
     Impl(net::Loop& on_loop, const MessageCodec& codec, const std::string& name, Hooks given)
         : loop(on_loop),
@@ -83,7 +84,7 @@
     std::string write_first_entry();
     std::string write_forced_history();
     void on_disk_failed(int status);
-    std::string error_text(int result, const char* subject);
+    std::string error_text(int result, const char* action);
     void close();
     void close_now();
 
@@ -104,10 +105,10 @@
     auto lock = std::make_unique<base::DirectoryLock>(directory.path());
     if (!lock->error().empty()) return lock->error();
     if (const int result = disk.open(directory.path(), transport.raw(), std::move(lock)); result != 0)
-        return error_text(result, "the folder");
+        return error_text(result, "opening the log directory");
     if (std::string error = init_library(); !error.empty()) return error;
-    // A voter that has lost its log has forgotten its votes. Two such could make a majority of their own
-    // beside the one that is there; without a first entry it waits until the leader sends it the log.
+    // A voter that has lost its log has forgotten its votes. Two such voters could form a majority of their
+    // own besides the existing one. Without a first entry this voter waits until the leader sends it the log.
     if (!lost && start == LogStart::bootstrap)
         if (std::string error = write_first_entry(); !error.empty()) return error;
     try {
@@ -117,7 +118,8 @@
     } catch (const std::exception& error) {
         return error.what();
     }
-    if (const int result = raft_start(&raft_instance); result != 0) return error_text(result, "the start");
+    if (const int result = raft_start(&raft_instance); result != 0)
+        return error_text(result, "starting raft");
     started = true;
     if (std::string error = disk.record_loaded(); !error.empty()) return error;
     return directory.mark_log_started();
@@ -130,7 +132,7 @@
     if (const int result =
             raft_init(&raft_instance, disk.io(), machine.fsm(), raft_id_of(self), address.c_str());
         result != 0)
-        return error_text(result, "the log");
+        return error_text(result, "initializing raft");
     raft_instance.data = this;
     raft_instance.tracer = &tracer;
     library_open = true;
@@ -145,7 +147,7 @@
     return {};
 }
 
-// The voters, as the first entry of a new log; or where an operator forced the start, this one alone.
+// Writes the voters as the first entry of a new log; if an operator forced the start, only this voter.
 std::string RaftNode::Impl::write_first_entry() {
     const bool forced = directory.is_start_forced();
     raft_configuration configuration;
@@ -157,12 +159,12 @@
                               : raft_bootstrap(&raft_instance, &configuration);
     raft_configuration_close(&configuration);
     const bool has_entries = !forced && result == RAFT_CANTBOOTSTRAP;
-    if (result != 0 && !has_entries) return error_text(result, "who votes");
+    if (result != 0 && !has_entries) return error_text(result, "writing the voter configuration");
     return forced ? write_forced_history() : std::string{};
 }
 
-// The later history is on disk before the marker is gone: the voters that were left behind are never spoken
-// with again.
+// The new history is written before the marker is removed, so that this voter never communicates again with
+// the voters that were left behind.
 std::string RaftNode::Impl::write_forced_history() {
     const auto now = static_cast<std::uint64_t>(loop.clock().unix_now().micros);
     const std::uint64_t history = std::max(directory.read_history() + 1, now);
@@ -170,7 +172,7 @@
         return error;
     const std::string archived = directory.archive_force_marker(loop.clock().now());
     log::error(
-        "consensus: start forced by operator history={} marker={} reason=entries that only other "
+        "consensus: start forced by operator history={} marker={} reason=entries that only the other "
         "voters had are lost",
         history, archived);
     return {};
@@ -188,8 +190,8 @@
     });
 }
 
-std::string RaftNode::Impl::error_text(int result, const char* subject) {
-    return fmt::format("agreed: {} in {}: {} ({})", subject, directory.path(), raft_strerror(result),
+std::string RaftNode::Impl::error_text(int result, const char* action) {
+    return fmt::format("consensus: {} failed in {}: {} ({})", action, directory.path(), raft_strerror(result),
                        library_open ? raft_errmsg(&raft_instance) : disk.io()->errmsg);
 }
 
@@ -220,8 +222,8 @@
     return id == 0 ? std::string{} : reconciler.name_of(id);
 }
 
-// What is committed is in the log of whoever is elected, but is applied only behind the first entry of its
-// own term.
+// An elected leader has all committed entries in its log, but applies them only after an entry of its own
+// term has been committed.
 bool RaftNode::Impl::leads_caught_up() {
     if (!leads()) return false;
     if (led_term != raft_instance.current_term) {
@@ -240,7 +242,7 @@
         return done(CommandResult{rollout::Outcome::rejected, 0, to + " does not vote", {}});
     if (reconciler.busy()) return done(std::nullopt);
     reconciler.transfer_leadership(raft_id_of(to), [this, to, done = std::move(done)] {
-        if (leader() != to) return done(std::nullopt);  // not elected yet: the caller retries
+        if (leader() != to) return done(std::nullopt);  // not elected yet; the caller retries
         done(CommandResult{rollout::Outcome::granted, raft_instance.current_term, {}, {}});
     });
 }
@@ -284,7 +286,7 @@
     owner->done(std::nullopt);
 }
 
-// --- The public part ---
+// --- Public interface ---
 
 RaftNode::RaftNode(net::Loop& loop, const MessageCodec& codec, const std::string& name, Hooks hooks)
     : impl_(std::make_unique<Impl>(loop, codec, name, std::move(hooks))) {}
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -1,9 +1,9 @@
-// One voter of the replicated log: the raft library's log, disk and elections on this loop, and the states
-// that the log drives. Its owner decides who may vote and what is proposed.
+// One voter of the replicated log: runs the raft library (log, disk, elections) on this loop and holds the
+// replicated state machines. The owner decides who may vote and what is proposed.
 //
-// Guarantees: a proposal that was answered is on disk at a majority; no callback is called once close_now()
-// has returned; the lock of the log's directory is held from open() until the log is closed, so no two
-// processes write one log; a log whose disk fails is closed and never used again.
+// Guarantees: a proposal reported as committed is on disk at a majority of voters; no callback runs after
+// close_now() has returned; the lock of the log directory is held from open() until the log is closed, so
+// that two processes never write to one log; a log whose disk fails is closed and never used again.
 #pragma once
 
 #include <cstdint>
@@ -24,25 +24,26 @@
 
 using cluster_transport::MessageCodec;
 
-// How a voter without a log begins.
+// How a voter without a log starts.
 enum class LogStart : std::uint8_t {
-    bootstrap,  // writes the first entry, the voters of the operator's file
-    join,       // there is a log already; the leader adds this voter and sends it what it lacks
+    bootstrap,  // writes the first entry: the voters named in the operator's file
+    join,       // a log exists already; the leader adds this voter and sends it the log
 };
 
 class RaftNode {
   public:
-    // None: not committed while this one led. It may have been committed all the same.
+    // No value: not committed while this voter was the leader. It may have been committed nevertheless.
     using ResultCallback = std::function<void(std::optional<rollout::CommandResult>)>;
     struct Hooks {
-        const config::Consensus& setup;                          // as it stands now
-        const std::map<std::string, std::string>& known_voters;  // by name: all that a file here has named
-        std::string marker_directory;                            // shows whether this one has had a log
-        std::function<std::string(const std::string&)> reachable_address;  // where it is reached from here
-        std::function<bool(const std::string& voter)> is_alive;            // by the cluster's membership
+        const config::Consensus& setup;                          // always the current settings
+        const std::map<std::string, std::string>& known_voters;  // addresses by name, including former voters
+        std::string marker_directory;  // holds the marker that this voter has had a log
+        std::function<std::string(const std::string&)>
+            reachable_address;                                   // maps an address to one reachable here
+        std::function<bool(const std::string& voter)> is_alive;  // according to cluster membership
         std::function<void()> state_changed, kv_store_changed;
-        std::function<void(std::uint64_t history)> newer_history_found;  // another voter's log has it
-        std::function<void()> failed;  // the log can't be written, and was closed
+        std::function<void(std::uint64_t history)> newer_history_found;  // in another voter's log
+        std::function<void()> failed;  // the log can't be written and was closed
     };
 
     RaftNode(net::Loop& loop, const MessageCodec& codec, const std::string& name, Hooks hooks);
@@ -50,41 +51,44 @@
     RaftNode(const RaftNode&) = delete;
     RaftNode& operator=(const RaftNode&) = delete;
 
-    // Locks the directory and starts. Empty on success, else the error; then this is to be closed. Throws
-    // ConsensusError where a forced start can't read the log's history.
+    // Locks the directory and starts. Returns an empty string on success, otherwise the error; the node must
+    // be closed then. Throws ConsensusError if a forced start can't read the log's history.
     std::string open(LogStart start);
-    // It had a log before, and the votes recorded in it are lost with it.
+    // True if there was a log before; the votes recorded in it are lost with it.
     bool has_lost_log() const;
-    // open() failed since the entries or snapshots on disk can't be read.
+    // True if open() failed because the entries or snapshots on disk can't be read.
     bool is_log_unreadable() const;
-    // Votes no more, and closes.
+    // Stops voting for good and closes.
     void stop();
     bool stopped() const;
-    // Begins to close; what the library still has to finish, it finishes on the loop.
+    // Starts closing; the library completes its pending work on the loop.
     void close();
-    bool closing() const;  // the library is open, or has not finished closing
-    // Closes at once, and runs the loop until that is done. Not from within a callback of the loop.
+    bool closing() const;  // true while the library is open or still closing
+    // Closes synchronously by running the loop until it is done. Must not be called from a callback of the
+    // loop.
     void close_now();
-    bool is_disk_stuck() const;  // close_now() would wait for it
+    bool is_disk_stuck() const;  // if so, close_now() would block on it
 
     bool is_voter() const;
     bool is_leader() const;
-    std::string leader() const;  // a name; empty: none is known
-    // It leads, and all that was in its log when it began to lead is applied: with that, all that was ever
-    // committed before.
+    std::string leader() const;  // a name; empty if none is known
+    // True if this voter is the leader and has applied everything that was in its log when it was elected,
+    // and thereby everything committed before.
     bool leads_caught_up() const;
-    std::vector<std::string> voters() const;  // an empty name: one that no file here has named
+    std::vector<std::string> voters() const;  // names; empty for a voter not in known_voters
     std::uint64_t history() const;            // of the log, see RaftDirectory
 
     const rollout::State& state() const;
     const kv_store::State& kv_store() const;
 
-    // Once a second: as the leader, brings the log's voters nearer to those of the operator's file.
+    // To be called once a second. On the leader: moves the log's voters one step closer to those named in the
+    // operator's file.
     void reconcile_voters();
     void propose(const std::string& command, ResultCallback done);
-    // Linearizable: sees all that was committed before the call. `granted` with version and value, or `none`.
+    // Linearizable: sees everything committed before the call. The result is `granted` with version and
+    // value, or `none`.
     void read(const std::string& key, ResultCallback done);
-    // `granted` with the term once `to` leads, `rejected` where it does not vote.
+    // The result is `granted` with the term once `to` is the leader, or `rejected` if `to` is not a voter.
     void transfer_leadership(const std::string& to, ResultCallback done);
 
   private:
--- a/src/consensus/raft_state_machine.cpp
+++ b/src/consensus/raft_state_machine.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::size_t kMaxSnapshotBytes = 256 << 20;
 constexpr std::size_t kEntryAlignment = 8;  // bytes
-// A snapshot is [mark, state of rollouts, key-value store]. Without the mark it is of the version before the
-// key-value store, and the state of rollouts alone.
+// A snapshot is [mark, state of rollouts, key-value store]. One without the mark was written by a version
+// without the key-value store and is just the state of rollouts.
 constexpr const char* kSnapshotMark = "sumackeel-agreed";
 constexpr std::size_t kMaxMarkLength = 64;
 
@@ -25,7 +25,7 @@
     return out.array(3).add(std::string(kSnapshotMark), state.encode(), kv_store.encode()).bytes();
 }
 
-// Throws on malformed bytes; `state` is then as it was.
+// Throws on malformed input and leaves `state` unchanged then.
 void decode_snapshot(std::string_view bytes, rollout::State& state, kv_store::State& kv_store) {
     const base::MsgpackDocument document = base::parse_msgpack(bytes, kMaxSnapshotBytes, kMaxSnapshotBytes);
     base::MsgpackReader reader = document.reader(3);
@@ -82,7 +82,7 @@
         last_result_ = rollout::apply(state_, command);
         *result = &last_result_;
     } catch (const std::exception& error) {
-        // The same on each voter: the command changes nothing anywhere.
+        // Every voter rejects it in the same way, so the command changes nothing anywhere.
         log::error("consensus: command rejected reason={}", error.what());
     }
     if (state_.revision() != state_before) hooks_.state_changed();
--- a/src/consensus/raft_state_machine.h
+++ b/src/consensus/raft_state_machine.h
@@ -1,5 +1,5 @@
-// The state machine that the replicated log drives (the library's raft_fsm): the state of rollouts and the
-// key-value store. Applying the same commands gives the same states on each voter.
+// The state machine of the replicated log (the library's raft_fsm): the state of rollouts and the key-value
+// store. Deterministic: applying the same commands yields the same state on every voter.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 class RaftStateMachine {
   public:
     struct Hooks {
-        std::function<void()> state_changed;  // of rollouts
+        std::function<void()> state_changed;  // the state of rollouts
         std::function<void()> kv_store_changed;
     };
     explicit RaftStateMachine(Hooks hooks);
@@ -23,8 +23,8 @@
     RaftStateMachine& operator=(const RaftStateMachine&) = delete;
     ~RaftStateMachine() = default;
 
-    // For raft_init(); its apply hands out a `const rollout::CommandResult*` that holds until the next one,
-    // or null where the command can't be applied.
+    // For raft_init(). Its apply callback returns a `const rollout::CommandResult*` that is valid until the
+    // next call, or null if the command can't be applied.
     raft_fsm* fsm() { return &fsm_; }
     const rollout::State& state() const { return state_; }
     const kv_store::State& kv_store() const { return kv_store_; }
@@ -42,9 +42,10 @@
     rollout::CommandResult last_result_;
 };
 
-// A buffer of the library's allocator; its base is null where memory is short. The library's decoder reads
-// entries of one batch at offsets of eight bytes, but its encoder does not pad them: a size that is no
-// multiple of eight would make it read past the end. The padding follows the MessagePack and is never read.
+// Allocates a buffer with the library's allocator; its base is null if out of memory. The library's decoder
+// reads the entries of a batch at offsets aligned to eight bytes, but its encoder does not pad them: a size
+// that is not a multiple of eight would make the decoder read past the end. The padding follows the
+// MessagePack data and is never read.
 raft_buffer make_raft_buffer(std::string_view bytes);
 
 }  // namespace sumackeel::consensus
--- a/src/consensus/raft_transport.cpp
+++ b/src/consensus/raft_transport.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxHandshakes = 12;  // at once; beyond it the oldest is closed
+constexpr std::size_t kMaxHandshakes = 12;  // concurrently; beyond this the oldest is closed
 constexpr base::Micros kHandshakeTimeout = 1'000'000;
 
 RaftTransport& transport_of(raft_uv_transport* raw) {
@@ -21,13 +21,13 @@
 
 }  // namespace
 
-// Exactly the bytes of the handshake are read, so that the first of the log stay in the socket.
+// Reads exactly the bytes of the handshake, so that the Raft messages after it stay in the socket.
 struct RaftTransport::Handshake {
     RaftTransport& owner;
     uv_tcp_t* tcp = static_cast<uv_tcp_t*>(raft_malloc(sizeof(uv_tcp_t)));  // the library frees it
     uv_connect_t connecting{};
     uv_write_t writing{};
-    raft_uv_connect* request = nullptr;  // of the library; null: an incoming connection
+    raft_uv_connect* request = nullptr;  // the library's; null for an incoming connection
     raft_uv_connect_cb on_connected = nullptr;
     Greeting greeting{};
     HelloBytes hello{};
@@ -53,7 +53,7 @@
         return *static_cast<Handshake*>(handle->data);
     }
 
-    // `into` outlives the handshake's reading.
+    // `into` must stay valid until it has been filled.
     template <std::size_t kSize>
     void read(std::array<char, kSize>& into) {
         read_buffer = into.data();
@@ -84,7 +84,7 @@
             drop(RAFT_NOCONNECTION);
     }
 
-    // Whether the other's log is of the own history; a later one is reported.
+    // Returns whether the peer's log has the same history; reports a later one.
     bool check_history(std::uint64_t history) {
         if (history > owner.history_) owner.newer_history_found_(history);
         return history == owner.history_;
@@ -103,7 +103,7 @@
 
     void on_greeting() {
         if (!verify_greeting(owner.codec_, greeting)) return reject();
-        // The hello is also sent to one of an older history, which learns of the later one by it.
+        // A peer with an older history gets the hello too: this is how it learns of the later history.
         const bool same_history = check_history(history_of(greeting));
         hello = encode_hello(owner.codec_, greeting, {owner.own_id_, owner.own_address_, owner.history_});
         if (!same_history)
@@ -226,7 +226,7 @@
     const auto open = handshakes_;
     for (Handshake* handshake : open) handshake->drop(RAFT_CANCELED);
     listener_.reset();
-    // The library expects the callback from the loop; closing an unused handle gives one.
+    // The library expects the callback to come from the loop; closing an unused handle provides one.
     auto* handle = new uv_timer_t;
     uv_timer_init(loop_.raw(), handle);
     handle->data = this;
--- a/src/consensus/raft_transport.h
+++ b/src/consensus/raft_transport.h
@@ -1,5 +1,5 @@
-// The transport of the raft library between voters: TCP, with a handshake that proves the cluster's key
-// before the first byte of the log.
+// The raft library's transport between voters: TCP, with a handshake in which both sides prove that they have
+// the cluster's key before any Raft message is exchanged.
 #pragma once
 
 #include <cstdint>
@@ -18,8 +18,9 @@
 
 class RaftTransport {
   public:
-    // `reachable_address`: where this member reaches an address that another one has. `newer_history_found`:
-    // another voter has a log of a later history; called from the loop, each time that it is met.
+    // `reachable_address` maps another member's address to one that is reachable from here.
+    // `newer_history_found` is called from the loop on each handshake with a voter whose log has a later
+    // history.
     RaftTransport(net::Loop& loop, const MessageCodec& codec, std::string listen_address,
                   std::function<std::string(const std::string&)> reachable_address,
                   std::function<void(std::uint64_t)> newer_history_found);
@@ -27,16 +28,16 @@
     RaftTransport(const RaftTransport&) = delete;
     RaftTransport& operator=(const RaftTransport&) = delete;
 
-    // Of the own log. Connections to voters of another history are closed: a log that an operator forced to
-    // go on alone has a later one than those that it went on without.
+    // Sets the history of this member's log. Connections to voters with another history are closed: a log
+    // that an operator forced to continue alone has a later history than the logs of the voters left behind.
     void set_history(std::uint64_t history) { history_ = history; }
     std::uint64_t history() const { return history_; }
-    // For raft_uv_init(); this outlives the library's use of it.
+    // For raft_uv_init(); must outlive the library's use of it.
     raft_uv_transport* raw() { return &transport_; }
-    std::uint64_t rejected() const { return rejected_; }  // connections with a wrong code
+    std::uint64_t rejected() const { return rejected_; }  // connections with an invalid MAC
 
   private:
-    struct Handshake;  // a connection until both sides are known
+    struct Handshake;  // a connection that is not authenticated yet
     int listen(raft_uv_accept_cb on_accepted);
     int connect(raft_uv_connect* request, const char* address, raft_uv_connect_cb on_connected);
     void close(raft_uv_transport_close_cb on_closed);
@@ -56,7 +57,7 @@
     std::unique_ptr<net::Listener> listener_;
     raft_uv_accept_cb on_accepted_ = nullptr;
     raft_uv_transport_close_cb on_closed_ = nullptr;
-    std::vector<Handshake*> handshakes_;  // each owns itself until its socket is closed or handed over
+    std::vector<Handshake*> handshakes_;  // each deletes itself when its socket is closed or passed on
     std::uint64_t rejected_ = 0;
     bool closing_ = false;
     bool listener_closed_ = false;
--- a/src/consensus/release_coordinator.cpp
+++ b/src/consensus/release_coordinator.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr const char* kReportVerb = "report";
-// Between two reports of a member; it grows with the members, so that the leader receives at most 200 a
-// second.
+// The interval between two reports of a member. It grows with the number of members, so that the leader
+// receives at most 200 reports per second.
 constexpr Micros kMinTickInterval = 500'000, kTickIntervalPerMember = 5'000, kMaxTickInterval = 4'000'000;
 
 Micros steady_now() {
@@ -119,8 +119,8 @@
 
 rollout::MemberStatus ReleaseCoordinator::status_of(const cluster::MemberView& member) const {
     const rollout::RunningVersion running = client_.running_version_of(member.record);
-    // A member that returned its upgrade lease after a later start is alive, though the cluster has not
-    // received a record of that start yet.
+    // A member that returned its upgrade lease after a restart is alive, even if its member record with the
+    // new start has not arrived yet.
     const bool restarted = running.start > member.record.incarnation.start;
     const bool gone =
         !restarted && (member.state == cluster::State::dead || member.state == cluster::State::left);
--- a/src/consensus/release_coordinator.h
+++ b/src/consensus/release_coordinator.h
@@ -1,5 +1,5 @@
-// Drives a release: members report their metrics to the leader, and the leader proposes the step that
-// src/rollout's ReleaseWatch decides on. Nothing runs unless a release is under way and not halted.
+// Drives a release: members report their metrics to the leader, and the leader proposes the next step decided
+// by ReleaseWatch (src/rollout). Idle unless a release is active and not halted.
 #pragma once
 
 #include <functional>
@@ -18,8 +18,8 @@
 
 class ReleaseCoordinator {
   public:
-    // `metrics`: what this process did since its start. `is_serving`: it is ready. `transport` and `client`
-    // outlive this.
+    // `metrics` returns this process's metrics since its start, `is_serving` whether it is ready. `transport`
+    // and `client` must outlive this object.
     ReleaseCoordinator(net::Loop& loop, ClusterTransport& transport, ConsensusClient& client,
                        std::function<rollout::MemberMetrics()> metrics, std::function<bool()> is_serving);
     ~ReleaseCoordinator();
@@ -27,11 +27,11 @@
     ReleaseCoordinator& operator=(const ReleaseCoordinator&) = delete;
 
     void changed();  // to be called after each change of the replicated state
-    // The releases, and the members of the one under way; one line.
+    // The releases and the members of the active one, as a single line.
     std::string as_json() const;
 
   private:
-    const rollout::Release* running_release() const;  // null: none, or it is halted
+    const rollout::Release* running_release() const;  // null if there is none or it is halted
     void on_report(const std::string& from, const std::string& body);
     void schedule_tick();
     void tick();
--- a/src/consensus/release_status.cpp
+++ b/src/consensus/release_status.cpp
@@ -42,7 +42,7 @@
     return json;
 }
 
-// `status`: null where the cluster does not know the member.
+// `status` is null if the member is unknown to the cluster.
 const char* member_state(const rollout::MemberStatus* status, const rollout::Lease* lease) {
     if (!status || status->gone) return "lost";
     if (lease) return "out";
@@ -63,7 +63,7 @@
     return json;
 }
 
-// In the order of the plan, by waves.
+// Lists the members in the order of the plan, wave by wave.
 Json::Value members_json(const ReleaseStatus& status, const Release& release) {
     Json::Value list(Json::arrayValue);
     std::size_t position = 0;
--- a/src/consensus/release_status.h
+++ b/src/consensus/release_status.h
@@ -11,13 +11,13 @@
 
 struct ReleaseStatus {
     const rollout::State& state;
-    std::string leader;                            // empty: none is known
+    std::string leader;                            // empty if none is known
     bool known = false;                            // see StateView::is_known()
-    const rollout::ReleaseWatch* watch = nullptr;  // of a leader
+    const rollout::ReleaseWatch* watch = nullptr;  // set on the leader only
     std::vector<rollout::MemberStatus> members;
 };
 
-// One line.
+// Returns a single line.
 std::string release_status_json(const ReleaseStatus& status);
 
 }  // namespace sumackeel::consensus
--- a/src/consensus/request_processor.cpp
+++ b/src/consensus/request_processor.cpp
@@ -30,10 +30,11 @@
     if (request.kind == RequestKind::change)
         return node.propose(kv_store::with_leader_time(request.body, context_.loop.clock().now()),
                             std::move(done));
-    // Without a release there is no upgrade lease; as a plain lease it would be granted.
+    // Without an active release there is no upgrade lease; proposed as a plain lease it would be granted.
     if (request.kind == RequestKind::upgrade_lease && !node.state().releases().active())
         return done(CommandResult{rollout::Outcome::none, 0, "no release is under way", {}});
-    // A rejection needs no entry in the log: one that is out of date keeps no member out, and clients retry.
+    // A rejection needs no log entry: one based on an outdated state makes no member unavailable, and clients
+    // retry.
     if (is_lease_request(request.kind)) {
         const CommandResult result = node.state().evaluate(lease_request(request));
         if (result.outcome != rollout::Outcome::granted) return done(result);
--- a/src/consensus/request_processor.h
+++ b/src/consensus/request_processor.h
@@ -1,5 +1,5 @@
-// How the leader carries out a request: it completes it by what the cluster shows now, and proposes it as a
-// command of the log.
+// Processes requests on the leader: completes them with the current state of the cluster and proposes them as
+// commands of the log.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace sumackeel::consensus {
 
-// The members of a kind, as this one sees them now.
+// Returns the members of a kind as currently seen by this member.
 using FleetView = std::function<std::vector<rollout::FleetMember>(rollout::MemberKind)>;
 
 class RequestProcessor {
@@ -25,18 +25,18 @@
     struct Context {
         net::Loop& loop;
         ClusterTransport& transport;
-        const config::Consensus& setup;  // as it stands now
+        const config::Consensus& setup;  // always the current settings
         LocalVoter& voter;
         const StateView& view;
         FleetView fleet;
     };
-    // All that the context refers to outlives this.
+    // Everything that the context refers to must outlive this object.
     explicit RequestProcessor(Context context) : context_(std::move(context)) {}
 
-    // Only while this member leads. `done` is called once, at once or from the loop; none: not committed, the
-    // caller may retry.
+    // Only valid while this member is the leader. `done` is called once, immediately or from the loop;
+    // without a value the request was not committed and may be retried.
     void process(const ConsensusRequest& request, RaftNode::ResultCallback done);
-    // The result that a request for a lease of `member` would have now; none: no such member is known.
+    // The result that a lease request for `member` would have now; no value if the member is unknown.
     std::optional<rollout::CommandResult> explain(const std::string& member) const;
     const FleetView& fleet() const { return context_.fleet; }
 
--- a/src/consensus/state_follower.cpp
+++ b/src/consensus/state_follower.cpp
@@ -13,9 +13,11 @@
 
 namespace {
 
-// Bans reach members that do not vote within 1 s; where members are many the interval grows up to its bound.
+// Bans have to reach members that are not voters within 1 s. The interval grows with the number of members up
+// to the maximum.
 constexpr Micros kMinPollInterval = 250'000, kPollIntervalPerMember = 2'000, kMaxPollInterval = 900'000;
-constexpr Micros kUnknownPollInterval = 100'000;  // at the least, while the state is not known: a start waits
+// The minimum while the state is not known yet: startup waits for it.
+constexpr Micros kUnknownPollInterval = 100'000;
 
 }  // namespace
 
@@ -71,8 +73,8 @@
                     });
 }
 
-// Of an earlier history, or of a voter that is behind, nothing is taken; a later history, as after a forced
-// start, makes the copy void.
+// Ignores replies from an earlier history. A later history, as after a forced start, invalidates the copy,
+// which is replaced once a voter with an up-to-date state replies.
 void StateFollower::on_reply(const std::string& voter, const std::string& body) {
     const ConsensusReply reply = decode_reply(body);
     if (reply.history < history_) return;
@@ -95,10 +97,10 @@
               state_.revision(), state_.leases().size());
 }
 
-// A voter that is behind sends all that it has, which is less than the copy: the revision decides.
+// A voter that is behind sends its complete state, which is older than the copy; the revision tells.
 void StateFollower::apply_kv_store_update(const std::string& update) {
     if (kv_store::revision_of_update(update) <= kv_store_.revision()) return;
-    needs_full_kv_store_ = !kv_store_.apply_update(update);  // throws before it changes anything
+    needs_full_kv_store_ = !kv_store_.apply_update(update);  // if it throws, nothing has changed
     if (!needs_full_kv_store_) hooks_.kv_store_changed();
 }
 
--- a/src/consensus/state_follower.h
+++ b/src/consensus/state_follower.h
@@ -1,5 +1,5 @@
-// The copy of the replicated state that a member holds which does not vote, or is cut off from the other
-// voters: it polls one voter after another and keeps the newest that it has received.
+// The copy of the replicated state on a member that is not a voter or is partitioned from the other voters.
+// It polls the voters in turn and keeps the newest state received.
 #pragma once
 
 #include <algorithm>
@@ -25,43 +25,43 @@
         std::function<void(const rollout::State&)> state_changed;
         std::function<void()> kv_store_changed;
     };
-    // `transport` and `setup`, as it stands now, outlive this.
+    // `transport` and `setup` must outlive this object; `setup` always has the current settings.
     StateFollower(net::Loop& loop, ClusterTransport& transport, const config::Consensus& setup, Hooks hooks);
     ~StateFollower();
     StateFollower(const StateFollower&) = delete;
     StateFollower& operator=(const StateFollower&) = delete;
 
-    // Polls now, and from then on at an interval that grows with the number of members.
+    // Polls now and then repeatedly, at an interval that grows with the number of members.
     void start_polling();
     void stop_polling();
     bool is_polling() const { return poll_timer_.has_value(); }
-    // Polls that one now; no answer within `timeout` is no error.
+    // Polls that voter now; no reply within `timeout` is not an error.
     void poll(const std::string& voter, base::Micros timeout);
-    // Round robin, for polls and requests alike.
+    // Round robin, shared by polls and requests.
     std::string next_voter();
 
     const rollout::State& state() const { return state_; }
     const kv_store::State& kv_store() const { return kv_store_; }
-    // Of the log that the copy is from; a later one makes the copy void.
+    // The history of the log that the copy is from; a later history invalidates the copy.
     std::uint64_t history() const { return history_; }
     void raise_history(std::uint64_t history) { history_ = std::max(history_, history); }
-    // What this member holds is all that had been committed at some moment since the start: see
-    // StateView::is_known().
+    // True if the state held here includes everything that had been committed at some point since this
+    // process started, see StateView::is_known().
     bool is_known() const { return known_; }
-    // By the reply of `source`, a voter that knows, or by this member's own log where that is its own name.
+    // `source` is the voter whose reply established this, or this member's name if its own log did.
     void mark_known(const std::string& source);
     void forget_known() { known_ = false; }
-    // The leader's name by the last reply; empty: none is known.
+    // The leader's name according to the last reply; empty if none is known.
     const std::string& leader() const { return leader_; }
     void set_leader(const std::string& leader) { leader_ = leader; }
-    // How long ago a voter that knows a leader last replied; none: never.
+    // The time since the last reply of a voter that knows a leader; no value if there was none.
     std::optional<base::Micros> confirmed_age() const;
 
-    // Takes over what is newer in a voter's own log, of a node that votes no more.
+    // Takes over whatever is newer in the state of `node`, which has stopped voting.
     void adopt(const RaftNode& node);
-    // Drops the copy: it was of an older history.
+    // Discards the copy because it is from an older history.
     void reset(std::uint64_t history);
-    // No callbacks from now on.
+    // No callbacks run after this call.
     void close();
 
   private:
@@ -77,7 +77,7 @@
     rollout::State state_;
     kv_store::State kv_store_;
     std::uint64_t history_ = 0;
-    bool needs_full_kv_store_ = false;  // an update did not fit on the copy
+    bool needs_full_kv_store_ = false;  // an incremental update could not be applied to the copy
     bool known_ = false;
     std::string leader_;
     std::optional<base::Micros> confirmed_at_;
--- a/src/consensus/state_view.cpp
+++ b/src/consensus/state_view.cpp
@@ -12,8 +12,8 @@
     return own ? voter_.node().kv_store() : follower_.kv_store();
 }
 
-// A voter's own log may lack entries that were committed, until a leader has sent them: only the leader, or
-// who was told by one, knows all of them.
+// Until a leader has sent them, a voter's own log may lack committed entries. Only the leader, and members
+// that received the state from it, have all of them.
 bool StateView::is_known() const {
     if (voter_.is_leader()) return voter_.node().leads_caught_up();
     return follower_.is_known();
--- a/src/consensus/state_view.h
+++ b/src/consensus/state_view.h
@@ -1,4 +1,4 @@
-// The replicated state as it is known here: of this member's own log, or of its copy if that is newer.
+// The replicated state as known to this member: from its own log, or from its polled copy if that is newer.
 #pragma once
 
 #include <optional>
@@ -15,19 +15,21 @@
 
 class StateView {
   public:
-    // Both outlive this.
+    // Both must outlive this object.
     StateView(const LocalVoter& voter, const StateFollower& follower) : voter_(voter), follower_(follower) {}
 
     const rollout::State& state() const;
     const kv_store::State& kv_store() const;
-    // It has all that was committed before some moment since this process started: this member leads and has
-    // applied what was in its log when it was elected, or was told by one that knows.
+    // True if the state includes everything that had been committed at some point since this process started:
+    // either this member is the leader and has applied what was in its log when it was elected, or it
+    // received the state from a member for which this holds.
     bool is_known() const;
-    std::string leader() const;  // a member's name; empty: none is known
-    // How long ago what is known here was surely all that had been committed; none: never since the start.
+    std::string leader() const;  // a member's name; empty if none is known
+    // The time since the state was last confirmed to include everything committed; no value if it has not
+    // been confirmed since the start.
     std::optional<base::Micros> confirmed_age() const;
-    // What a proxy runs: by its member record, or as it reported when it returned its last upgrade lease, if
-    // that is from a later start.
+    // The version a proxy is running: from its member record, or as reported when it returned its last
+    // upgrade lease if that was after a later start.
     rollout::RunningVersion running_version_of(const cluster::MemberRecord& record) const;
 
   private:
--- a/src/consensus/voter_reconciler.cpp
+++ b/src/consensus/voter_reconciler.cpp
@@ -21,7 +21,7 @@
     remove_former_voter();
 }
 
-// A new voter is a spare until it has the log, and votes from then on.
+// A new voter is first added without a vote (as a spare) and promoted once it has the log.
 bool VoterReconciler::add_missing_voter() {
     const raft_server* begin = raft_.configuration.servers;
     const raft_server* end = begin + raft_.configuration.n;
@@ -52,7 +52,8 @@
         const auto configured = options_.setup.voters.find(name);
         if (configured != options_.setup.voters.end() && configured->second == server->address) continue;
         if (!is_safe_to_remove(*server)) continue;
-        // A leader hands over first: the next one removes it, and no grant waits for an election.
+        // The leader transfers leadership first, and its successor removes it. No lease request then has to
+        // wait for an election.
         if (server->id == raft_.id) return transfer_leadership(0, nullptr);
         return begin_change(fmt::format("change=remove member={} address={}", name.empty() ? "unknown" : name,
                                         server->address),
@@ -62,8 +63,8 @@
     }
 }
 
-// A voter removed while others are dead could leave too few for a majority, also for the change itself; so a
-// majority of those that stay must be alive.
+// Removing a voter while others are dead could leave too few for a majority, even for committing the change
+// itself. A majority of the remaining voters must therefore be alive.
 bool VoterReconciler::is_safe_to_remove(const raft_server& voter) const {
     unsigned remaining = 0;
     unsigned alive = 0;
--- a/src/consensus/voter_reconciler.h
+++ b/src/consensus/voter_reconciler.h
@@ -1,5 +1,5 @@
-// Who votes on the replicated log: changes by the leader, one at a time, until the log's voters are those of
-// the operator's file; and the transfer of leadership.
+// Reconciles the voters of the replicated log with those named in the operator's file (on the leader, one
+// configuration change at a time), and transfers leadership.
 #pragma once
 
 #include <functional>
@@ -19,26 +19,26 @@
   public:
     struct Options {
         std::string self;
-        const config::Consensus& setup;                          // as it stands now
-        const std::map<std::string, std::string>& known_voters;  // by name: all that a file here has named
-        std::function<bool(const std::string& voter)> is_alive;  // by the cluster's membership
+        const config::Consensus& setup;                          // always the current settings
+        const std::map<std::string, std::string>& known_voters;  // addresses by name, including former voters
+        std::function<bool(const std::string& voter)> is_alive;  // according to cluster membership
     };
-    // `raft` outlives this.
+    // `raft` must outlive this object.
     VoterReconciler(raft& raft, Options options);
     VoterReconciler(const VoterReconciler&) = delete;
     VoterReconciler& operator=(const VoterReconciler&) = delete;
     ~VoterReconciler() = default;
 
-    // Of a leader: begins the next change, if one is due and none is under way. Voters are added before
+    // Leader only: starts the next change if one is due and none is in progress. Voters are added before
     // others are removed.
     void reconcile();
-    // Of a leader; `done` is called once, also where the library rejects the transfer. `to`: 0 for the voter
-    // whose log is the longest.
+    // Leader only. `done` is called once, even if the library rejects the transfer. If `to` is 0, the voter
+    // with the longest log is chosen.
     void transfer_leadership(raft_id to, std::function<void()> done);
-    // A change or a transfer is under way.
+    // True while a change or a transfer is in progress.
     bool busy() const { return busy_; }
 
-    // In alphabetical order; an empty name: one that no file here has named.
+    // Names in alphabetical order; empty for a voter not in known_voters.
     std::vector<std::string> voters() const;
     std::string name_of(raft_id id) const;
 
@@ -46,7 +46,7 @@
     bool add_missing_voter();
     void remove_former_voter();
     bool is_safe_to_remove(const raft_server& voter) const;
-    // `start`: int(raft_change*, raft_change_cb), the library's call.
+    // `start` makes the library's call; its signature is int(raft_change*, raft_change_cb).
     template <typename Start>
     void begin_change(const std::string& description, Start start);
 
