--- a/src/store/legacy_store_import.cpp
+++ b/src/store/legacy_store_import.cpp
@@ -15,21 +15,22 @@
 
 namespace {
 
-constexpr std::size_t kSumLength = 16;
+constexpr std::size_t kChecksumLength = 16;
 
-std::string sum_of(const std::string& text) {
+std::string checksum_of(const std::string& text) {
     unsigned char digest[EVP_MAX_MD_SIZE];
     EVP_Digest(text.data(), text.size(), digest, nullptr, EVP_sha256(), nullptr);
-    std::string sum;
-    for (std::size_t i = 0; i < kSumLength / 2; ++i) sum += fmt::format("{:02x}", digest[i]);
-    return sum;
+    std::string checksum;
+    for (std::size_t i = 0; i < kChecksumLength / 2; ++i) checksum += fmt::format("{:02x}", digest[i]);
+    return checksum;
 }
 
-// The object of a sealed line without its end; nothing if the seal does not hold.
-std::optional<Json::Value> unsealed(const std::string& line) {
-    if (line.size() <= kSumLength + 1 || line[kSumLength] != ' ') return std::nullopt;
-    const std::string text = line.substr(kSumLength + 1);
-    if (sum_of(text) != line.substr(0, kSumLength)) return std::nullopt;
+// Parses a line (without its newline) of checksum, space and JSON object. No value if the checksum does not
+// match.
+std::optional<Json::Value> parse_checksummed_line(const std::string& line) {
+    if (line.size() <= kChecksumLength + 1 || line[kChecksumLength] != ' ') return std::nullopt;
+    const std::string text = line.substr(kChecksumLength + 1);
+    if (checksum_of(text) != line.substr(0, kChecksumLength)) return std::nullopt;
     try {
         Json::Value value = config::parse(text, "store");
         if (value.isObject()) return value;
@@ -38,28 +39,28 @@
     return std::nullopt;
 }
 
-std::int64_t whole(const Json::Value& object, const char* name) {
+std::int64_t integer_field(const Json::Value& object, const char* name) {
     if (!object[name].isInt64()) throw StoreError(std::string(name) + " is no whole number");
     return object[name].asInt64();
 }
 
-std::string text(const Json::Value& object, const char* name) {
+std::string text_field(const Json::Value& object, const char* name) {
     if (!object.isObject() || !object[name].isString()) throw StoreError(std::string(name) + " is no text");
     return object[name].asString();
 }
 
-std::string all_of(const std::string& path) {
+std::string read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
-    std::stringstream all;
-    all << file.rdbuf();
-    return all.str();
+    std::stringstream content;
+    content << file.rdbuf();
+    return content.str();
 }
 
-std::optional<Json::Value> sealed_file(const std::string& path) {
+std::optional<Json::Value> read_checksummed_file(const std::string& path) {
     if (!std::filesystem::exists(path)) return std::nullopt;
-    std::string line = all_of(path);
+    std::string line = read_file(path);
     if (!line.empty() && line.back() == '\n') line.pop_back();
-    auto value = unsealed(line);
+    auto value = parse_checksummed_line(line);
     if (!value) throw StoreError(path + ": its checksum does not hold");
     return value;
 }
@@ -73,28 +74,31 @@
 LegacyStore read_legacy_store(const std::string& folder) {
     LegacyStore old;
     std::int64_t last = 0;
-    if (const auto promise = sealed_file(folder + "/promise")) old.leader = text(*promise, "leader");
-    if (const auto snapshot = sealed_file(folder + "/snapshot")) {
-        last = whole(*snapshot, "seq");
+    if (const auto promise = read_checksummed_file(folder + "/promise"))
+        old.leader = text_field(*promise, "leader");
+    if (const auto snapshot = read_checksummed_file(folder + "/snapshot")) {
+        last = integer_field(*snapshot, "seq");
         if (!(*snapshot)["keys"].isObject()) throw StoreError("keys is no object");
         for (const std::string& key : (*snapshot)["keys"].getMemberNames())
-            old.values[key] = text((*snapshot)["keys"][key], "value");
+            old.values[key] = text_field((*snapshot)["keys"][key], "value");
     }
-    const std::string all = all_of(folder + "/log");
-    for (std::size_t at = 0; at < all.size();) {
-        const auto end = all.find('\n', at);
-        const auto record = end == std::string::npos ? std::nullopt : unsealed(all.substr(at, end - at));
+    const std::string content = read_file(folder + "/log");
+    for (std::size_t position = 0; position < content.size();) {
+        const auto end = content.find('\n', position);
+        const auto record = end == std::string::npos
+                                ? std::nullopt
+                                : parse_checksummed_line(content.substr(position, end - position));
         if (!record) {
-            // Danger: a bad record in the middle was once acknowledged; to go on without it would lose it.
-            if (end == std::string::npos || end + 1 == all.size()) break;
+            // A bad record that is not the last one was once acknowledged; skipping it would lose it.
+            if (end == std::string::npos || end + 1 == content.size()) break;
             throw StoreError(folder + "/log: a record's checksum does not hold");
         }
-        at = end + 1;
-        const std::int64_t seq = whole(*record, "seq");
-        if (seq <= last && old.records == 0) continue;  // from before the snapshot
-        if (seq != last + 1) throw StoreError(folder + "/log: a record is missing");
-        last = seq, ++old.records;
-        old.values[text(*record, "key")] = text(*record, "value");
+        position = end + 1;
+        const std::int64_t sequence = integer_field(*record, "seq");
+        if (sequence <= last && old.records == 0) continue;  // already part of the snapshot
+        if (sequence != last + 1) throw StoreError(folder + "/log: a record is missing");
+        last = sequence, ++old.records;
+        old.values[text_field(*record, "key")] = text_field(*record, "value");
     }
     return old;
 }
--- a/src/store/redis_one_time_tokens.cpp
+++ b/src/store/redis_one_time_tokens.cpp
@@ -15,29 +15,29 @@
 
 namespace {
 
-constexpr base::Micros kAgainAfter = 300'000;
-const std::string kPrefix = "sumackeel:used:";
+constexpr base::Micros kReconnectInterval = 300'000;
+const std::string kKeyPrefix = "sumackeel:used:";
 
 }  // namespace
 
-// One question out. Whoever comes first, the answer or the deadline, settles it.
-struct RedisOneTimeTokens::Asked {
+// A command sent to Redis. It is finished by its reply or its deadline, whichever comes first.
+struct RedisOneTimeTokens::PendingCommand {
     Done done;
-    base::TimerQueue::Key by;
-    bool settled = false;
-    std::shared_ptr<Asked> self;  // held for hiredis until its callback
+    base::TimerQueue::Key deadline;
+    bool finished = false;
+    std::shared_ptr<PendingCommand> self;  // keeps this alive until the hiredis callback
 
-    void settle(TokenUse use) {
-        if (!std::exchange(settled, true)) done(use);
+    void finish(TokenUse use) {
+        if (!std::exchange(finished, true)) done(use);
     }
 };
 
 RedisOneTimeTokens::RedisOneTimeTokens(net::Loop& loop, const std::string& address, base::Micros timeout)
     : loop_(loop), timeout_(timeout) {
-    sockaddr_in at{};
-    if (!net::parse_address(address, at)) throw config::ConfigError("redis: no address: " + address);
+    sockaddr_in parsed{};
+    if (!net::parse_address(address, parsed)) throw config::ConfigError("redis: no address: " + address);
     host_ = address.substr(0, address.rfind(':'));
-    port_ = ntohs(at.sin_port);
+    port_ = ntohs(parsed.sin_port);
     connect();
 }
 
@@ -47,69 +47,72 @@
 }
 
 void RedisOneTimeTokens::connect() {
-    up_ = false;
+    connected_ = false;
     context_ = redisAsyncConnect(host_.c_str(), port_);
     if (!context_ || context_->err) {
         if (context_) redisAsyncFree(context_);
         context_ = nullptr;
-        return lost();
+        return on_disconnected();
     }
     context_->data = this;
     redisLibuvAttach(context_, loop_.raw());
     redisAsyncSetConnectCallback(context_, [](const redisAsyncContext* context, int status) {
         auto* self = static_cast<RedisOneTimeTokens*>(context->data);
-        self->up_ = status == REDIS_OK;
+        self->connected_ = status == REDIS_OK;
         if (status == REDIS_OK) return;
-        self->context_ = nullptr;  // hiredis frees it
-        self->lost();
+        self->context_ = nullptr;  // freed by hiredis
+        self->on_disconnected();
     });
     redisAsyncSetDisconnectCallback(context_, [](const redisAsyncContext* context, int) {
         auto* self = static_cast<RedisOneTimeTokens*>(context->data);
         if (!self->alive_) return;
         self->context_ = nullptr;
-        self->lost();
+        self->on_disconnected();
     });
 }
 
-void RedisOneTimeTokens::lost() {
-    if (std::exchange(up_, false)) log::warn("redis is gone: links for one use are refused");
-    loop_.timers().schedule(loop_.clock().now() + kAgainAfter, [this, alive = std::weak_ptr<bool>(alive_)] {
-        if (!alive.expired() && !context_) connect();
-    });
+void RedisOneTimeTokens::on_disconnected() {
+    if (std::exchange(connected_, false))
+        log::warn("redis: disconnected; rejecting one-time links until it is back");
+    loop_.timers().schedule(loop_.clock().now() + kReconnectInterval,
+                            [this, alive = std::weak_ptr<bool>(alive_)] {
+                                if (!alive.expired() && !context_) connect();
+                            });
 }
 
 void RedisOneTimeTokens::redeem(const std::string& name, double now, double until, Done done) {
-    if (!context_ || !up_) return done(TokenUse::unknown);
-    const std::string key = kPrefix + name;
+    if (!context_ || !connected_) return done(TokenUse::unknown);
+    const std::string key = kKeyPrefix + name;
     const auto ms = static_cast<long long>(std::clamp(std::ceil((until - now) * 1000), 1000.0, 1e12));
-    auto asked = std::make_shared<Asked>();
-    asked->done = std::move(done);
-    asked->self = asked;
-    asked->by = loop_.timers().schedule(loop_.clock().now() + timeout_,
-                                        [asked] { asked->settle(TokenUse::unknown); });
+    auto pending = std::make_shared<PendingCommand>();
+    pending->done = std::move(done);
+    pending->self = pending;
+    pending->deadline = loop_.timers().schedule(loop_.clock().now() + timeout_,
+                                                [pending] { pending->finish(TokenUse::unknown); });
     const int sent = redisAsyncCommand(
         context_,
-        [](redisAsyncContext* context, void* answer, void* data) {
-            const std::shared_ptr<Asked> request = std::move(static_cast<Asked*>(data)->self);
+        [](redisAsyncContext* context, void* raw_reply, void* data) {
+            const std::shared_ptr<PendingCommand> request =
+                std::move(static_cast<PendingCommand*>(data)->self);
             auto* self = static_cast<RedisOneTimeTokens*>(context->data);
             if (!self->alive_) return;
-            self->loop_.timers().cancel(request->by);
-            const auto* reply = static_cast<redisReply*>(answer);
-            const bool first =
+            self->loop_.timers().cancel(request->deadline);
+            const auto* reply = static_cast<redisReply*>(raw_reply);
+            const bool accepted =
                 reply && reply->type == REDIS_REPLY_STATUS && std::string_view(reply->str) == "OK";
-            const bool again = reply && reply->type == REDIS_REPLY_NIL;
-            request->settle(first ? TokenUse::first : again ? TokenUse::reused : TokenUse::unknown);
+            const bool exists = reply && reply->type == REDIS_REPLY_NIL;
+            request->finish(accepted ? TokenUse::first : exists ? TokenUse::reused : TokenUse::unknown);
         },
-        asked.get(), "SET %b 1 NX PX %lld", key.data(), key.size(), ms);
+        pending.get(), "SET %b 1 NX PX %lld", key.data(), key.size(), ms);
     if (sent == REDIS_OK) return;
-    loop_.timers().cancel(asked->by);
-    asked->self.reset();
-    asked->settle(TokenUse::unknown);
+    loop_.timers().cancel(pending->deadline);
+    pending->self.reset();
+    pending->finish(TokenUse::unknown);
 }
 
 void RedisOneTimeTokens::release(const std::string& name) {
-    if (!context_ || !up_) return;  // the link stays used, which is the safe side
-    const std::string key = kPrefix + name;
+    if (!context_ || !connected_) return;  // the link stays used, which is safe
+    const std::string key = kKeyPrefix + name;
     redisAsyncCommand(context_, nullptr, nullptr, "DEL %b", key.data(), key.size());
 }
 
--- a/src/store/redis_one_time_tokens.h
+++ b/src/store/redis_one_time_tokens.h
@@ -1,5 +1,5 @@
-// Links for one use, shared by several proxies through Redis: SET NX PX. While Redis is down or late no such
-// use is granted.
+// One-time links shared by several proxies through Redis (SET NX PX). While Redis is down or too slow, no use
+// is granted.
 #pragma once
 
 #include <cstdint>
@@ -24,17 +24,17 @@
     void release(const std::string& name) override;
 
   private:
-    struct Asked;
+    struct PendingCommand;
 
     void connect();
-    void lost();
+    void on_disconnected();
 
     net::Loop& loop_;
     std::string host_;
     int port_ = 0;
     base::Micros timeout_;
     redisAsyncContext* context_ = nullptr;
-    bool up_ = false;
+    bool connected_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/store/store_api.cpp
+++ b/src/store/store_api.cpp
@@ -10,89 +10,97 @@
 
 namespace {
 
-constexpr std::size_t kPlaces = 16;
-constexpr std::size_t kLongestLine = 256 * 1024;  // a key and a value with all that JSON may make of them
-constexpr base::Micros kIdle = 30'000'000;        // a caller without a question for so long is let go
+constexpr std::size_t kMaxConnections = 16;
+constexpr std::size_t kMaxLineBytes = 256 * 1024;  // fits a key and a value of maximum size with JSON escapes
+constexpr base::Micros kIdleTimeout = 30'000'000;  // a connection without requests is closed after this
 
 }  // namespace
 
-struct StoreApi::Caller : net::Stream::Handler, std::enable_shared_from_this<Caller> {
+struct StoreApi::Connection : net::Stream::Handler, std::enable_shared_from_this<Connection> {
     StoreApi& api;
     net::Stream* stream = nullptr;
     std::string buffer;
-    base::Micros asked = 0;
+    base::Micros last_active_at = 0;
 
-    explicit Caller(StoreApi& d) : api(d), asked(d.loop_.clock().now()) {}
+    explicit Connection(StoreApi& d) : api(d), last_active_at(d.loop_.clock().now()) {}
     void on_data(net::Stream&, std::string_view bytes) override {
         buffer += bytes;
-        asked = api.loop_.clock().now();
+        last_active_at = api.loop_.clock().now();
         const auto self = shared_from_this();
-        std::size_t at = 0;
-        for (std::size_t end = 0; stream && (end = buffer.find('\n', at)) != std::string::npos; at = end + 1)
-            question(buffer.substr(at, end - at));
-        buffer.erase(0, at);
-        if (stream && buffer.size() > kLongestLine) shut();
+        std::size_t position = 0;
+        for (std::size_t end = 0; stream && (end = buffer.find('\n', position)) != std::string::npos;
+             position = end + 1)
+            on_line(buffer.substr(position, end - position));
+        buffer.erase(0, position);
+        if (stream && buffer.size() > kMaxLineBytes) close();
     }
-    void question(const std::string& line) {
-        const auto answer = [caller = std::weak_ptr<Caller>(shared_from_this())](const Json::Value& value) {
-            const auto there = caller.lock();
-            if (there && there->stream) there->stream->write(base::to_json_line(value));
+    void on_line(const std::string& line) {
+        const auto respond = [connection =
+                                  std::weak_ptr<Connection>(shared_from_this())](const Json::Value& value) {
+            const auto open_connection = connection.lock();
+            if (open_connection && open_connection->stream)
+                open_connection->stream->write(base::to_json_line(value));
         };
         try {
             const Json::Value value = config::parse(line, "store");
             if (!value.isObject()) throw config::ConfigError("no object");
-            api.take_(value, answer);
-        } catch (const std::exception& wrong) {
-            Json::Value no;
-            no["refused"] = wrong.what();
-            answer(no);
+            api.handle_request_(value, respond);
+        } catch (const std::exception& error) {
+            Json::Value rejection;
+            rejection["refused"] = error.what();
+            respond(rejection);
         }
     }
     void on_close(net::Stream&, net::DisconnectCause) override {
         stream = nullptr;
-        api.took(*this);
+        api.remove(*this);
     }
-    void shut() {
+    void close() {
         if (auto* open = std::exchange(stream, nullptr)) open->close();
-        api.took(*this);
+        api.remove(*this);
     }
 };
 
 StoreApi::StoreApi(net::Loop& loop, net::SocketBudget& budget, const std::string& listen,
-                   QuestionHandler take)
-    : loop_(loop), budget_(budget), take_(std::move(take)), listener_(loop, listen, [this] {
+                   RequestHandler handle_request)
+    : loop_(loop),
+      budget_(budget),
+      handle_request_(std::move(handle_request)),
+      listener_(loop, listen, [this] {
           const int fd = listener_.accept();
           if (fd < 0) return;
-          // With all places taken the one idle the longest goes.
-          if (callers_.size() >= kPlaces)
-              (*std::min_element(callers_.begin(), callers_.end(), [](const auto& a, const auto& b) {
-                  return a->asked < b->asked;
-              }))->shut();
-          auto caller = std::make_shared<Caller>(*this);
-          caller->stream = net::Stream::adopt(loop_, budget_, fd, *caller);
-          if (!caller->stream) return;
-          callers_.push_back(caller);
-          loop_.timers().schedule(loop_.clock().now() + kIdle, [caller = std::weak_ptr<Caller>(caller), this,
-                                                                alive = std::weak_ptr<bool>(alive_)] {
-              const auto there = caller.lock();
-              if (alive.expired() || !there || !there->stream) return;
-              if (loop_.clock().now() - there->asked >= kIdle) there->shut();
-          });
+          // If the maximum is reached, the connection that has been idle longest is closed.
+          if (connections_.size() >= kMaxConnections)
+              (*std::min_element(connections_.begin(), connections_.end(), [](const auto& a, const auto& b) {
+                  return a->last_active_at < b->last_active_at;
+              }))->close();
+          auto connection = std::make_shared<Connection>(*this);
+          connection->stream = net::Stream::adopt(loop_, budget_, fd, *connection);
+          if (!connection->stream) return;
+          connections_.push_back(connection);
+          loop_.timers().schedule(
+              loop_.clock().now() + kIdleTimeout, [connection = std::weak_ptr<Connection>(connection), this,
+                                                   alive = std::weak_ptr<bool>(alive_)] {
+                  const auto open_connection = connection.lock();
+                  if (alive.expired() || !open_connection || !open_connection->stream) return;
+                  if (loop_.clock().now() - open_connection->last_active_at >= kIdleTimeout)
+                      open_connection->close();
+              });
       }) {}
 
 StoreApi::~StoreApi() {
     alive_.reset();
-    for (const auto& caller : callers_)
-        if (auto* open = std::exchange(caller->stream, nullptr)) open->close();
+    for (const auto& connection : connections_)
+        if (auto* open = std::exchange(connection->stream, nullptr)) open->close();
 }
 
-// Not from within its own call: what holds it may be the stream's.
-void StoreApi::took(Caller& caller) {
-    const auto place =
-        std::find_if(callers_.begin(), callers_.end(), [&](const auto& one) { return one.get() == &caller; });
-    if (place == callers_.end()) return;
-    loop_.timers().schedule(loop_.clock().now(), [kept = std::move(*place)] {});
-    callers_.erase(place);
+// The connection is destroyed from the loop, not from its own call: the stream may still be using it.
+void StoreApi::remove(Connection& connection) {
+    const auto found = std::find_if(connections_.begin(), connections_.end(),
+                                    [&](const auto& one) { return one.get() == &connection; });
+    if (found == connections_.end()) return;
+    loop_.timers().schedule(loop_.clock().now(), [removed = std::move(*found)] {});
+    connections_.erase(found);
 }
 
 }  // namespace sumackeel::store
--- a/src/store/store_api.h
+++ b/src/store/store_api.h
@@ -1,5 +1,6 @@
-// Where `sumackeel store` asks: one JSON object a line, an answer a line, any number a connection. Knows no
-// store; who owns it answers, at once or later.
+// The API used by `sumackeel store`: each line is a JSON object, each request gets one response line, and a
+// connection can carry any number of requests. Independent of the store itself; the owner handles the
+// requests and responds immediately or later.
 #pragma once
 
 #include <json/json.h>
@@ -16,24 +17,25 @@
 
 class StoreApi {
   public:
-    using Answer = std::function<void(const Json::Value&)>;  // dropped where the caller has gone
-    using QuestionHandler = std::function<void(const Json::Value& question, const Answer& answer)>;
+    using Answer = std::function<void(const Json::Value&)>;  // does nothing if the client has disconnected
+    using RequestHandler = std::function<void(const Json::Value& request, const Answer& respond)>;
 
-    // Throws where `listen` can't be used.
-    StoreApi(net::Loop& loop, net::SocketBudget& budget, const std::string& listen, QuestionHandler take);
+    // Throws if `listen` can't be used.
+    StoreApi(net::Loop& loop, net::SocketBudget& budget, const std::string& listen,
+             RequestHandler handle_request);
     ~StoreApi();
     StoreApi(const StoreApi&) = delete;
     StoreApi& operator=(const StoreApi&) = delete;
     int port() const { return listener_.port(); }
 
   private:
-    struct Caller;
-    void took(Caller& caller);
+    struct Connection;
+    void remove(Connection& connection);
 
     net::Loop& loop_;
     net::SocketBudget& budget_;
-    QuestionHandler take_;
-    std::vector<std::shared_ptr<Caller>> callers_;
+    RequestHandler handle_request_;
+    std::vector<std::shared_ptr<Connection>> connections_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     net::Listener listener_;
 };
--- a/tests/compatibility/encoded_forms_test.cpp
+++ b/tests/compatibility/encoded_forms_test.cpp
@@ -1,6 +1,6 @@
-// Bytes on wires and on disk: fixed values, encoded, are the bytes that version 0.3.0 wrote (data/), and
-// those bytes are read back to the same values. A change that only renames or reshapes leaves each file as it
-// is. With RECORD=1 in the environment the files are written and not judged.
+// Compatibility of the encodings on the wire and on disk: fixed values must encode to the bytes that version
+// 0.3.0 wrote (data/), and those bytes must decode to the same values. Refactoring must not change these
+// files. With RECORD=1 in the environment the files are rewritten instead of checked.
 #include <gtest/gtest.h>
 #include <stdlib.h>
 
@@ -42,16 +42,16 @@
     return text.str();
 }
 
-// The recorded bytes of that name, which `bytes` are compared with.
+// Compares `bytes` with the recorded file of that name and returns the recorded bytes.
 std::string recorded(const std::string& name, const std::string& bytes) {
     if (std::getenv("RECORD")) std::ofstream(data_file(name), std::ios::binary) << bytes;
     const std::string expected = file_bytes(data_file(name));
-    EXPECT_FALSE(expected.empty()) << name << " is not there";
+    EXPECT_FALSE(expected.empty()) << name << " is missing or empty";
     EXPECT_EQ(bytes, expected) << name;
     return expected;
 }
 
-cluster::MemberRecord member_word(const std::string& name) {
+cluster::MemberRecord member_record(const std::string& name) {
     return {.name = name,
             .address = "127.0.0.1:9002",
             .zone = "edge-1",
@@ -61,7 +61,7 @@
             .phase = cluster::Phase::alive};
 }
 
-cluster::Suspicion doubt() {
+cluster::Suspicion suspicion() {
     return {.suspector = "n1",
             .subject = "n4",
             .suspector_start = 3,
@@ -74,11 +74,11 @@
     return {"school", cluster_transport::Keys{{"0123456789abcdef"}}};
 }
 
-core::Request ask() {
-    core::Request ask;
-    ask.id = "a-17", ask.class_name = "sheet", ask.object = "7f3a9c21e0b4d655", ask.part = 3,
-    ask.purge_group = 17;
-    return ask;
+core::Request request() {
+    core::Request request;
+    request.id = "a-17", request.class_name = "sheet", request.object = "7f3a9c21e0b4d655", request.part = 3,
+    request.purge_group = 17;
+    return request;
 }
 
 rollout::Plan plan() {
@@ -88,32 +88,32 @@
     return plan;
 }
 
-rollout::FleetMember member(const char* name, const char* school, double weight) {
+rollout::FleetMember member(const char* name, const char* zone, double weight) {
     rollout::FleetMember member;
-    member.name = name, member.zone = school, member.parent_region = "coast", member.weight = weight;
+    member.name = name, member.zone = zone, member.parent_region = "coast", member.weight = weight;
     return member;
 }
 
-rollout::LeaseRequest leave_of(const std::string& name, bool forced = false) {
-    rollout::LeaseRequest ask;
-    ask.kind = rollout::MemberKind::pop_cache, ask.member = name, ask.requested_by = "n0",
-    ask.forced = forced;
-    ask.now = 1'700'000'000'000'000;
-    ask.budget = {.max_unavailable_in_zone = 2,
-                  .max_zone_weight_share = 1,
-                  .max_unavailable = 3,
-                  .min_interval_in_zone = 5'000'000};
-    ask.fleet = {member("a1", "a", 8), member("a2", "a", 8), member("b1", "b", 4.5)};
-    ask.fleet[1].unavailable = true, ask.fleet[1].unavailable_reason = "dead";
-    return ask;
+rollout::LeaseRequest lease_request_for(const std::string& name, bool forced = false) {
+    rollout::LeaseRequest request;
+    request.kind = rollout::MemberKind::pop_cache, request.member = name, request.requested_by = "n0",
+    request.forced = forced;
+    request.now = 1'700'000'000'000'000;
+    request.budget = {.max_unavailable_in_zone = 2,
+                      .max_zone_weight_share = 1,
+                      .max_unavailable = 3,
+                      .min_interval_in_zone = 5'000'000};
+    request.fleet = {member("a1", "a", 8), member("a2", "a", 8), member("b1", "b", 4.5)};
+    request.fleet[1].unavailable = true, request.fleet[1].unavailable_reason = "dead";
+    return request;
 }
 
-rollout::ReleaseCommand start_order() {
-    rollout::ReleaseCommand order;
-    order.action = rollout::ReleaseAction::start, order.requested_by = "n0",
-    order.now = 1'700'000'000'100'000;
-    order.plan = plan(), order.live_members = {"n0", "n1", "n2"};
-    return order;
+rollout::ReleaseCommand start_command() {
+    rollout::ReleaseCommand command;
+    command.action = rollout::ReleaseAction::start, command.requested_by = "n0",
+    command.now = 1'700'000'000'100'000;
+    command.plan = plan(), command.live_members = {"n0", "n1", "n2"};
+    return command;
 }
 
 rollout::ReleaseStep step() {
@@ -163,19 +163,19 @@
 }
 
 TEST(EncodedForms, CacheRequests) {
-    const core::Request plain = ask();
-    core::Request with_body = ask();
+    const core::Request plain = request();
+    core::Request with_body = request();
     with_body.idempotency_key = "k17", with_body.client_etag = "e1", with_body.body = "four";
     core::Request without_object;
     without_object.id = "e-1", without_object.class_name = "enrol";
-    core::AttemptRequest first, all, bare;
+    core::AttemptRequest first, all, minimal;
     first.deadline = 3'000'000, first.request = &plain;
     all.source = "s-parent", all.deadline = 3'000'999, all.max_age = 1'999, all.cache_priority = 2,
     all.request = &with_body;
     all.coalesce = all.source_cached_only = all.parent_bypasses_cache = all.revalidate = true;
-    bare.source = "s-origin", bare.deadline = 3'000'000, bare.request = &without_object;
+    minimal.source = "s-origin", minimal.deadline = 3'000'000, minimal.request = &without_object;
     std::string bytes;
-    for (const core::AttemptRequest* one : {&first, &all, &bare})
+    for (const core::AttemptRequest* one : {&first, &all, &minimal})
         bytes += upstream::RequestEncoder(*one).encode_at(500'400);
     bytes += upstream::RequestEncoder(first).encode_at(2'999'999) + upstream::encode_cancel("a-17");
     recorded("cache_requests.txt", bytes);
@@ -183,8 +183,8 @@
 
 TEST(EncodedForms, CacheAnswers) {
     std::string in;
-    for (const char* word : {"DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST"})
-        in += std::string("r-") + word + " " + word + " - 0\r\n\r\n";
+    for (const char* status : {"DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST"})
+        in += std::string("r-") + status + " " + status + " - 0\r\n\r\n";
     for (const char* note : {"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off",
                              "not_there", "no_place", "far_fault", "unheard_of"})
         in += std::string("n DONE tell=") + note + ",first=12.5,digest=e7,dated=1764576000123 4\r\nbody\r\n";
@@ -192,95 +192,98 @@
     upstream::ResponseReader reader;
     reader.append(in);
     std::string read;
-    upstream::CacheResponse answer;
-    while (reader.next(answer)) {
-        const core::AttemptResult& end = answer.result;
+    upstream::CacheResponse response;
+    while (reader.next(response)) {
+        const core::AttemptResult& result = response.result;
         std::stringstream line;
-        line << answer.id << ' ' << static_cast<int>(end.status) << ' ' << static_cast<int>(end.cache_status)
-             << ' ' << end.time_to_first_byte << ' ' << end.load.in_flight << ' '
-             << end.load.ingress_utilization << ' ' << end.not_modified << ' ' << end.body << ' ' << end.etag
-             << ' ' << end.origin_date_ms << '\n';
+        line << response.id << ' ' << static_cast<int>(result.status) << ' '
+             << static_cast<int>(result.cache_status) << ' ' << result.time_to_first_byte << ' '
+             << result.load.in_flight << ' ' << result.load.ingress_utilization << ' ' << result.not_modified
+             << ' ' << result.body << ' ' << result.etag << ' ' << result.origin_date_ms << '\n';
         read += line.str();
     }
     recorded("cache_answers_read.txt", read);
 }
 
 TEST(EncodedForms, GossipDatagramsAndFrames) {
-    cluster_transport::SequencedDatagram ask{.datagram = {.kind = cluster::MessageKind::ping_request,
-                                                          .from = "n1",
-                                                          .to = "n2",
-                                                          .number = 9,
-                                                          .subject = "n3",
-                                                          .records = {member_word("n1"), member_word("n4")},
-                                                          .suspicions = {doubt()}},
-                                             .start = 3,
-                                             .sequence = 77};
-    cluster_transport::SequencedDatagram tell{
-        .datagram = {.from = "n1", .to = "n2", .records = {member_word("n1")}}, .start = 3, .sequence = 78};
+    cluster_transport::SequencedDatagram request{
+        .datagram = {.kind = cluster::MessageKind::ping_request,
+                     .from = "n1",
+                     .to = "n2",
+                     .number = 9,
+                     .subject = "n3",
+                     .records = {member_record("n1"), member_record("n4")},
+                     .suspicions = {suspicion()}},
+        .start = 3,
+        .sequence = 77};
+    cluster_transport::SequencedDatagram plain_datagram{
+        .datagram = {.from = "n1", .to = "n2", .records = {member_record("n1")}}, .start = 3, .sequence = 78};
     cluster_transport::DecodeError bad{};
-    for (const auto& [name, numbered] :
-         {std::pair{"gossip_ask.bin", ask}, std::pair{"gossip_tell.bin", tell}}) {
-        const auto read = codec().decode_datagram(recorded(name, codec().encode_datagram(numbered)), bad);
+    for (const auto& [name, sequenced] :
+         {std::pair{"gossip_ask.bin", request}, std::pair{"gossip_tell.bin", plain_datagram}}) {
+        const auto read = codec().decode_datagram(recorded(name, codec().encode_datagram(sequenced)), bad);
         ASSERT_TRUE(read);
-        EXPECT_EQ(codec().encode_datagram(*read), codec().encode_datagram(numbered));
+        EXPECT_EQ(codec().encode_datagram(*read), codec().encode_datagram(sequenced));
     }
     const cluster_transport::ExchangeFrame state{
         .step = cluster_transport::ExchangeStep::state,
         .to = "n2",
         .digest = 0x1122334455667788,
-        .state = {"n1", {member_word("n1"), member_word("n2")}, {doubt()}}};
+        .state = {"n1", {member_record("n1"), member_record("n2")}, {suspicion()}}};
     const std::string bytes = recorded("gossip_state.bin", codec().encode_frame(state));
     const auto read = codec().decode_frame(std::string_view(bytes).substr(4), bad);
     ASSERT_TRUE(read);
     EXPECT_EQ(codec().encode_frame(*read), bytes);
     const cluster_transport::CallFrame call{
         .from = "n1", .to = "n2", .start = 3, .sequence = 5, .method = "has", .body = "1 2 3"};
-    const std::string called = recorded("member_call.bin", codec().encode_call(call));
-    const auto again = codec().decode_call(std::string_view(called).substr(4), bad);
+    const std::string call_bytes = recorded("member_call.bin", codec().encode_call(call));
+    const auto again = codec().decode_call(std::string_view(call_bytes).substr(4), bad);
     ASSERT_TRUE(again);
-    EXPECT_EQ(codec().encode_call(*again), called);
+    EXPECT_EQ(codec().encode_call(*again), call_bytes);
 }
 
 TEST(EncodedForms, ConsensusMessages) {
-    const consensus::ConsensusReply said{
+    const consensus::ConsensusReply reply{
         .done = true, .leader = "n2", .body = "body", .history = 4, .kv_store_update = "news"};
-    EXPECT_EQ(encode(consensus::decode_reply(recorded("consensus_reply.bin", encode(said)))), encode(said));
-    consensus::ConsensusRequest wanted;
-    wanted.kind = consensus::RequestKind::release_command, wanted.forced = true,
-    wanted.member_kind = rollout::MemberKind::pop_cache;
-    wanted.member = "a1", wanted.by = "n0";
-    wanted.body = encode(start_order()), wanted.running = {5, "0.3.0"};
+    EXPECT_EQ(encode(consensus::decode_reply(recorded("consensus_reply.bin", encode(reply)))), encode(reply));
+    consensus::ConsensusRequest request;
+    request.kind = consensus::RequestKind::release_command, request.forced = true,
+    request.member_kind = rollout::MemberKind::pop_cache;
+    request.member = "a1", request.by = "n0";
+    request.body = encode(start_command()), request.running = {5, "0.3.0"};
     EXPECT_EQ(
-        consensus::ConsensusRequest::decode(recorded("consensus_request.bin", wanted.encode())).encode(),
-        wanted.encode());
+        consensus::ConsensusRequest::decode(recorded("consensus_request.bin", request.encode())).encode(),
+        request.encode());
 }
 
 TEST(EncodedForms, RolloutCommandsAndState) {
-    const rollout::LeaseReturn back{rollout::MemberKind::pop_cache, "a1", "n0", 1'700'000'000'300'000};
-    rollout::MemberReport report;
-    report.member = "n1", report.version = "0.3.0", report.start = 5;
-    report.metrics.served = 9, report.metrics.latency_histogram[3] = 7, report.metrics.memory_kb = 40'000;
-    EXPECT_EQ(encode(rollout::decode_member_report(recorded("rollout_report.bin", encode(report)))),
-              encode(report));
-    const std::string commands[] = {recorded("rollout_leave.bin", encode(leave_of("a1"))),
-                                    recorded("rollout_start.bin", encode(start_order())),
+    const rollout::LeaseReturn lease_return{rollout::MemberKind::pop_cache, "a1", "n0",
+                                            1'700'000'000'300'000};
+    rollout::MemberReport member_report;
+    member_report.member = "n1", member_report.version = "0.3.0", member_report.start = 5;
+    member_report.metrics.served = 9, member_report.metrics.latency_histogram[3] = 7,
+    member_report.metrics.memory_kb = 40'000;
+    EXPECT_EQ(encode(rollout::decode_member_report(recorded("rollout_report.bin", encode(member_report)))),
+              encode(member_report));
+    const std::string commands[] = {recorded("rollout_leave.bin", encode(lease_request_for("a1"))),
+                                    recorded("rollout_start.bin", encode(start_command())),
                                     recorded("rollout_step.bin", encode(step())),
-                                    recorded("rollout_forced.bin", encode(leave_of("b1", true))),
-                                    recorded("rollout_back.bin", encode(back))};
+                                    recorded("rollout_forced.bin", encode(lease_request_for("b1", true))),
+                                    recorded("rollout_back.bin", encode(lease_return))};
     rollout::State state;
-    std::string answers;
-    for (const std::string& command : commands) answers += encode(rollout::apply(state, command));
-    recorded("rollout_answers.bin", answers);
+    std::string results;
+    for (const std::string& command : commands) results += encode(rollout::apply(state, command));
+    recorded("rollout_answers.bin", results);
     const std::string snapshot = recorded("rollout_state.bin", state.encode());
     EXPECT_EQ(rollout::State::decode(snapshot), state);
     EXPECT_EQ(rollout::State::decode(snapshot).encode(), snapshot);
 }
 
 TEST(EncodedForms, KeyValueCommandsAndState) {
-    const kv_store::ExpireKeys tick{1'700'000'002'500'000};
+    const kv_store::ExpireKeys expire_keys{1'700'000'002'500'000};
     const std::string commands[] = {recorded("registry_change.bin", encode(change())),
                                     recorded("registry_purge.bin", encode(purge())),
-                                    recorded("registry_tick.bin", encode(tick))};
+                                    recorded("registry_tick.bin", encode(expire_keys))};
     kv_store::State state;
     for (const std::string& command : commands) {
         EXPECT_TRUE(kv_store::is_command(command));
@@ -291,47 +294,48 @@
     EXPECT_EQ(kv_store::State::decode(snapshot), state);
     EXPECT_EQ(kv_store::State::decode(snapshot).encode(), snapshot);
     kv_store::State behind;
-    const std::string news = recorded("registry_news.bin", state.update_since(0));
-    EXPECT_TRUE(behind.apply_update(news));
+    const std::string update = recorded("registry_news.bin", state.update_since(0));
+    EXPECT_TRUE(behind.apply_update(update));
     EXPECT_EQ(behind, state);
-    EXPECT_EQ(kv_store::revision_of_update(news), state.revision());
+    EXPECT_EQ(kv_store::revision_of_update(update), state.revision());
     recorded("registry_news_since_1.bin", state.update_since(1));
 }
 
 TEST(EncodedForms, EndpointSnapshot) {
     const endpoints::NameTables names{{"coast", "edge-1"}, {"small", "parent", "origin"}};
-    endpoints::Snapshot list;
-    list.site = "school", list.taken_at = {1'700'000'000'000'000}, list.confirmed_age = 1'000'000;
-    list.last_sequence = 41, list.full_list_sequence = 7, list.forgotten_through = 3;
+    endpoints::Snapshot snapshot;
+    snapshot.site = "school", snapshot.taken_at = {1'700'000'000'000'000}, snapshot.confirmed_age = 1'000'000;
+    snapshot.last_sequence = 41, snapshot.full_list_sequence = 7, snapshot.forgotten_through = 3;
     for (int i = 0; i < 3; ++i) {
-        endpoints::EndpointRecord word;
-        word.sequence = 7 + i;
-        word.located.address = "10.0.0." + std::to_string(i) + ":9090";
-        word.located.endpoint = {.name = "s-" + std::to_string(i),
-                                 .weight = 4.5,
-                                 .zone = 1,
-                                 .started_at = i,
-                                 .kind = i,
-                                 .cell = i};
-        word.located.endpoint.state = static_cast<routing::EndpointState>(i);
-        list.endpoints.push_back(
-            {std::make_shared<const endpoints::EndpointRecord>(word), i % 2 ? -1 : 1000});
+        endpoints::EndpointRecord record;
+        record.sequence = 7 + i;
+        record.located.address = "10.0.0." + std::to_string(i) + ":9090";
+        record.located.endpoint = {.name = "s-" + std::to_string(i),
+                                   .weight = 4.5,
+                                   .zone = 1,
+                                   .started_at = i,
+                                   .kind = i,
+                                   .cell = i};
+        record.located.endpoint.state = static_cast<routing::EndpointState>(i);
+        snapshot.endpoints.push_back(
+            {std::make_shared<const endpoints::EndpointRecord>(record), i % 2 ? -1 : 1000});
     }
-    list.purges = {{"7f3a9c21e0b4d655", 0, 1'699'999'999'000'000}, {"", 17, 1'699'999'998'000'000}};
-    const std::string bytes = recorded("endpoints.sumlist", encode(list, names));
+    snapshot.purges = {{"7f3a9c21e0b4d655", 0, 1'699'999'999'000'000}, {"", 17, 1'699'999'998'000'000}};
+    const std::string bytes = recorded("endpoints.sumlist", encode(snapshot, names));
     const endpoints::DecodedSnapshot read = decode(bytes, names);
     ASSERT_FALSE(read.error) << read.error->text;
     EXPECT_EQ(encode(read.snapshot, names), bytes);
 }
 
 TEST(EncodedForms, RecoveryState) {
-    recovery::PersistedState kept;
-    kept.phase = recovery::Phase::priming, kept.members = {"n0", "n1", "n2"}, kept.draining = true;
-    kept.bans = {"s-a"}, kept.leased = {"s-b", "s-c"};
-    const std::string bytes = recorded("recovery.sumkept", encode(kept));
+    recovery::PersistedState persisted;
+    persisted.phase = recovery::Phase::priming, persisted.members = {"n0", "n1", "n2"},
+    persisted.draining = true;
+    persisted.bans = {"s-a"}, persisted.leased = {"s-b", "s-c"};
+    const std::string bytes = recorded("recovery.sumkept", encode(persisted));
     recovery::PersistedState read;
     EXPECT_EQ(decode(bytes, read), "");
-    EXPECT_EQ(read, kept);
+    EXPECT_EQ(read, persisted);
 }
 
 TEST(EncodedForms, RecoveryReply) {
@@ -344,20 +348,20 @@
     ASSERT_TRUE(read);
     EXPECT_EQ(encode(*read), bytes);
     EXPECT_EQ(read->leased, reply.leased);
-    // Of a sender that does not tell leases: an array of seven.
-    base::MsgpackWriter earlier;
-    earlier.array(7).add(1, 2, false, false, 3, 5).array(0);
-    const auto without_leases = recovery_coordinator::decode_recovery_reply(earlier.bytes());
+    // A sender that does not report leases sends an array of seven.
+    base::MsgpackWriter legacy;
+    legacy.array(7).add(1, 2, false, false, 3, 5).array(0);
+    const auto without_leases = recovery_coordinator::decode_recovery_reply(legacy.bytes());
     ASSERT_TRUE(without_leases);
     EXPECT_EQ(without_leases->phase, recovery::Phase::settling);
     EXPECT_TRUE(without_leases->leased.empty());
 }
 
 TEST(EncodedForms, AdminStateHandOver) {
-    admin::State board;
-    board.on_started();
-    board.ban("s-a", true), board.ban("s-b.example", true), board.start_drain();
-    const std::string bytes = recorded("hand_over.txt", board.encode());
+    admin::State state;
+    state.on_started();
+    state.ban("s-a", true), state.ban("s-b.example", true), state.start_drain();
+    const std::string bytes = recorded("hand_over.txt", state.encode());
     const admin::DecodedState read = admin::decode_state(bytes);
     ASSERT_TRUE(read.state) << read.error;
     EXPECT_EQ(read.state->encode(), bytes);
@@ -367,9 +371,9 @@
     admin::HandoverRecord record(0xfeedfacecafebeefULL);
     record.set_banned("s-a", true), record.set_banned("s-b.example", false), record.set_draining(true);
     record.confirm();
-    admin::State earlier;
-    earlier.ban("s-c", true);
-    record.merge_legacy(earlier);
+    admin::State legacy;
+    legacy.ban("s-c", true);
+    record.merge_legacy(legacy);
     const std::string bytes = recorded("hand_over_2.txt", record.encode());
     admin::HandoverRecord read(record.writer());
     EXPECT_EQ(admin::HandoverRecord::decode(bytes, read), "");
@@ -391,7 +395,7 @@
     std::filesystem::remove_all(folder);
 }
 
-// Written by a version before 0.3.0: a snapshot, records behind it, who led last.
+// Written by a version before 0.3.0: a snapshot, the records after it, and the last leader.
 TEST(EncodedForms, LegacyStore) {
     const std::string folder = data_file("legacy_store");
     ASSERT_TRUE(store::has_legacy_store(folder));
--- a/tests/consensus/acknowledged_position_test.cpp
+++ b/tests/consensus/acknowledged_position_test.cpp
@@ -1,4 +1,5 @@
-// The file that says how far a voter has acknowledged its log: its bytes, and what becomes of a damaged one.
+// The file with the position up to which a voter has acknowledged its log: its format, and the handling of a
+// damaged file.
 #include "consensus/acknowledged_position.h"
 
 #include <gtest/gtest.h>
@@ -49,20 +50,20 @@
 TEST_F(AcknowledgementFileTest, CutOrChangedAnywhereItIsNotUsed) {
     const AcknowledgementFile file(directory);
     ASSERT_EQ(file.write(kPosition), "");
-    const std::string whole = bytes();
-    for (std::size_t at = 0; at < whole.size(); ++at) {
-        store(whole.substr(0, at));
-        EXPECT_EQ(file.read(fault), AcknowledgedPosition{}) << "cut at " << at;
+    const std::string complete = bytes();
+    for (std::size_t offset = 0; offset < complete.size(); ++offset) {
+        store(complete.substr(0, offset));
+        EXPECT_EQ(file.read(fault), AcknowledgedPosition{}) << "cut at " << offset;
         EXPECT_NE(fault, "");
-        std::string changed = whole;
-        changed[at] ^= 1;
+        std::string changed = complete;
+        changed[offset] ^= 1;
         store(changed);
-        EXPECT_EQ(file.read(fault), AcknowledgedPosition{}) << "changed at " << at;
+        EXPECT_EQ(file.read(fault), AcknowledgedPosition{}) << "changed at " << offset;
         EXPECT_NE(fault, "");
     }
 }
 
-// As Raft compares logs: an entry of a later term tells more than many of an earlier one.
+// As Raft compares logs: the term takes precedence over the index.
 TEST(LogPosition, IsOrderedByTermAndThenIndex) {
     EXPECT_LT((LogPosition{.term = 2, .index = 90}), (LogPosition{.term = 3, .index = 4}));
     EXPECT_LT((LogPosition{.term = 3, .index = 4}), (LogPosition{.term = 3, .index = 5}));
--- a/tests/kv_store/kv_store_test.cpp
+++ b/tests/kv_store/kv_store_test.cpp
@@ -1,5 +1,5 @@
-// The registry without a log: what a change may be, what is told to those that are behind, and random
-// histories against a plain map. Seeds are printed with a failure.
+// The key-value store without a log: validation of transactions, updates for members that are behind, and
+// random histories compared with a std::map. The seed is printed on failure.
 #include "kv_store/kv_store.h"
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
 namespace {
 
 Operation put(std::string key, std::string value, std::optional<std::uint64_t> expected = {},
-              Micros lasts = 0) {
-    return {std::move(key), OperationKind::set, std::move(value), expected, lasts};
+              Micros time_to_live = 0) {
+    return {std::move(key), OperationKind::set, std::move(value), expected, time_to_live};
 }
 Operation drop(std::string key, std::optional<std::uint64_t> expected = {}) {
     return {std::move(key), OperationKind::remove, {}, expected, 0};
@@ -22,8 +22,9 @@
 Operation check(std::string key, std::uint64_t expected) {
     return {std::move(key), OperationKind::check, {}, expected, 0};
 }
-ApplyResult change(State& state, std::vector<Operation> parts, Micros now = 0) {
-    return kv_store::apply(state, with_leader_time(encode(Transaction{std::move(parts), "test", 0}), now));
+ApplyResult change(State& state, std::vector<Operation> operations, Micros now = 0) {
+    return kv_store::apply(state,
+                           with_leader_time(encode(Transaction{std::move(operations), "test", 0}), now));
 }
 
 }  // namespace
@@ -32,13 +33,13 @@
     State state;
     ASSERT_TRUE(change(state, {put("revoked/a", "yes"), put("key/k", "off")}).applied);
     EXPECT_EQ(state.find("key/k")->version, 1);
-    const ApplyResult no = change(state, {put("revoked/b", "yes"), check("key/k", 7)});
-    EXPECT_FALSE(no.applied);
-    EXPECT_EQ(no.reason, "key/k has version 1, 7 was expected");
+    const ApplyResult rejected = change(state, {put("revoked/b", "yes"), check("key/k", 7)});
+    EXPECT_FALSE(rejected.applied);
+    EXPECT_EQ(rejected.reason, "key/k has version 1, 7 was expected");
     EXPECT_EQ(state.find("revoked/b"), nullptr);
     EXPECT_TRUE(change(state, {put("revoked/b", "yes"), check("key/k", 1), drop("revoked/a", 1)}).applied);
     EXPECT_EQ(state.find("revoked/a"), nullptr);
-    EXPECT_FALSE(change(state, {put("revoked/b", "no", 0)}).applied) << "it is there";
+    EXPECT_FALSE(change(state, {put("revoked/b", "no", 0)}).applied) << "the key exists";
     EXPECT_TRUE(change(state, {drop("never")}).applied);
     EXPECT_EQ(state.revision(), 2) << "nothing changed";
 }
@@ -57,7 +58,7 @@
         ASSERT_TRUE(change(state, {put("limit/" + std::to_string(i), "1")}).applied);
     EXPECT_EQ(change(state, {put("limit/more", "1")}).reason, "limit/more: 1024 keys under 'limit/' at most");
     EXPECT_TRUE(change(state, {drop("limit/0"), put("limit/more", "1")}).applied);
-    EXPECT_TRUE(change(state, {put("limit/1", "2")}).applied) << "no key more";
+    EXPECT_TRUE(change(state, {put("limit/1", "2")}).applied) << "the number of keys stays the same";
 }
 
 TEST(Registry, WhatIsToEndEndsByTheLeadersTime) {
@@ -65,7 +66,7 @@
     change(state, {put("fleet/a", "x", {}, 5 * kSecond)}, 10 * kSecond);
     EXPECT_EQ(state.next_expiry(), 15 * kSecond);
     EXPECT_FALSE(kv_store::apply(state, encode(ExpireKeys{14 * kSecond})).applied);
-    change(state, {put("fleet/a", "y", {}, 9 * kSecond)}, 14 * kSecond);  // kept up
+    change(state, {put("fleet/a", "y", {}, 9 * kSecond)}, 14 * kSecond);  // renewed before it expires
     EXPECT_FALSE(kv_store::apply(state, encode(ExpireKeys{15 * kSecond})).applied);
     EXPECT_TRUE(kv_store::apply(state, encode(ExpireKeys{23 * kSecond})).applied);
     EXPECT_EQ(state.find("fleet/a"), nullptr);
@@ -96,97 +97,104 @@
     EXPECT_FALSE(ahead.events_since(1)) << "compacted";
     EXPECT_TRUE(behind.apply_update(ahead.update_since(behind.revision())));
     EXPECT_EQ(behind, ahead);
-    // Of a state that it has overtaken, as after a forced start: all of it.
+    // From a state with a lower revision, as after a forced start, it gets the complete state.
     State other;
     change(other, {put("revoked/x", "yes")});
     EXPECT_TRUE(behind.apply_update(other.update_since(behind.revision())));
     EXPECT_EQ(behind, other);
     State fresh;
     change(ahead, {put("revoked/z", "yes")});
-    EXPECT_FALSE(fresh.apply_update(ahead.update_since(ahead.revision() - 1))) << "it fits on nothing here";
+    EXPECT_FALSE(fresh.apply_update(ahead.update_since(ahead.revision() - 1)))
+        << "the update does not follow on the empty state";
     EXPECT_EQ(fresh.revision(), 0);
 }
 
-// Against a plain map; one that follows by news, one by the whole state, one by the commands.
+// Compares three states with each other and with a std::map: one driven by commands, one by incremental
+// updates, and one decoded from the complete state.
 TEST(Registry, AllThatFollowAgreeOver300Seeds) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        std::mt19937_64 chance(seed);
-        const auto pick = [&](std::size_t of) { return chance() % of; };
-        State led, told, whole;
-        std::map<std::string, std::pair<std::string, std::uint64_t>> plain;
+        std::mt19937_64 rng(seed);
+        const auto random_below = [&](std::size_t bound) { return rng() % bound; };
+        State leader, follower, restored;
+        std::map<std::string, std::pair<std::string, std::uint64_t>> model;
         Micros now = 0;
         for (int step = 0; step < 120; ++step) {
-            now += static_cast<Micros>(pick(3)) * kSecond;
-            Transaction one{{}, "test", 0};
-            for (std::size_t parts = 1 + pick(3); parts-- > 0;) {
-                Operation part{"fleet/" + std::to_string(10 * parts + pick(4)),
-                               static_cast<OperationKind>(pick(3)),
-                               std::to_string(chance()),
-                               {},
-                               0};
-                const auto has = plain.find(part.key);
-                if (part.kind == OperationKind::check || pick(2) == 0)
-                    part.expected_version = pick(4) == 0 ? 999 : has == plain.end() ? 0 : has->second.second;
-                one.operations.push_back(part);
+            now += static_cast<Micros>(random_below(3)) * kSecond;
+            Transaction transaction{{}, "test", 0};
+            for (std::size_t remaining = 1 + random_below(3); remaining-- > 0;) {
+                Operation operation{"fleet/" + std::to_string(10 * remaining + random_below(4)),
+                                    static_cast<OperationKind>(random_below(3)),
+                                    std::to_string(rng()),
+                                    {},
+                                    0};
+                const auto found = model.find(operation.key);
+                if (operation.kind == OperationKind::check || random_below(2) == 0)
+                    operation.expected_version = random_below(4) == 0   ? 999
+                                                 : found == model.end() ? 0
+                                                                        : found->second.second;
+                transaction.operations.push_back(operation);
             }
-            bool fits = true, changes = false;
-            for (const Operation& part : one.operations) {
-                const auto has = plain.find(part.key);
-                const std::uint64_t version = has == plain.end() ? 0 : has->second.second;
-                fits = fits && (!part.expected_version || *part.expected_version == version);
-                changes = changes || part.kind == OperationKind::set ||
-                          (part.kind == OperationKind::remove && version > 0);
+            bool accepted = true, changes = false;
+            for (const Operation& operation : transaction.operations) {
+                const auto found = model.find(operation.key);
+                const std::uint64_t version = found == model.end() ? 0 : found->second.second;
+                accepted =
+                    accepted && (!operation.expected_version || *operation.expected_version == version);
+                changes = changes || operation.kind == OperationKind::set ||
+                          (operation.kind == OperationKind::remove && version > 0);
             }
-            const std::string command = with_leader_time(encode(one), now);
+            const std::string command = with_leader_time(encode(transaction), now);
             ASSERT_TRUE(is_command(command));
-            const ApplyResult answer = kv_store::apply(led, command);
-            ASSERT_EQ(answer.applied, fits);
-            if (fits && changes)
-                for (const Operation& part : one.operations) {
-                    if (part.kind == OperationKind::set) plain[part.key] = {part.value, answer.revision};
-                    if (part.kind == OperationKind::remove) plain.erase(part.key);
+            const ApplyResult result = kv_store::apply(leader, command);
+            ASSERT_EQ(result.applied, accepted);
+            if (accepted && changes)
+                for (const Operation& operation : transaction.operations) {
+                    if (operation.kind == OperationKind::set)
+                        model[operation.key] = {operation.value, result.revision};
+                    if (operation.kind == OperationKind::remove) model.erase(operation.key);
                 }
-            if (pick(10) == 0)
-                kv_store::apply(led, with_leader_time(encode(Purge{0, 1, "o", "test", 0}), now));
-            if (pick(5) == 0) {
-                const std::string news = led.update_since(told.revision());
-                ASSERT_TRUE(news.empty() || revision_of_update(news) == led.revision());
-                ASSERT_TRUE(news.empty() || told.apply_update(news));
-                ASSERT_EQ(told, led);
+            if (random_below(10) == 0)
+                kv_store::apply(leader, with_leader_time(encode(Purge{0, 1, "o", "test", 0}), now));
+            if (random_below(5) == 0) {
+                const std::string update = leader.update_since(follower.revision());
+                ASSERT_TRUE(update.empty() || revision_of_update(update) == leader.revision());
+                ASSERT_TRUE(update.empty() || follower.apply_update(update));
+                ASSERT_EQ(follower, leader);
             }
         }
-        whole = State::decode(led.encode());
-        ASSERT_EQ(whole, led);
-        ASSERT_EQ(whole.entries().size(), plain.size());
-        for (const auto& [key, value] : plain) {
-            ASSERT_EQ(whole.find(key)->value, value.first);
-            ASSERT_EQ(whole.find(key)->version, value.second);
+        restored = State::decode(leader.encode());
+        ASSERT_EQ(restored, leader);
+        ASSERT_EQ(restored.entries().size(), model.size());
+        for (const auto& [key, value] : model) {
+            ASSERT_EQ(restored.find(key)->value, value.first);
+            ASSERT_EQ(restored.find(key)->version, value.second);
         }
     }
 }
 
-// Bytes cut at every length and with every byte changed: an error or a state, never a crash.
+// Input truncated at every length and with each byte changed must give an error or a state, never a crash.
 TEST(Registry, DamagedBytesAreErrors) {
     State state;
     change(state, {put("revoked/a", "yes", {}, kSecond), put("fleet/b", "x")});
     kv_store::apply(state, with_leader_time(encode(Purge{0, 3, "o", "test", 0}), 1));
     for (const std::string& bytes :
          {state.encode(), state.update_since(0), encode(Transaction{{put("a", "b")}, "test", 0})})
-        for (std::size_t at = 0; at < 2 * bytes.size(); ++at) {
-            std::string damaged = bytes.substr(0, at < bytes.size() ? at : bytes.size());
-            if (at >= bytes.size()) damaged[at - bytes.size()] ^= static_cast<char>(1 + at % 255);
+        for (std::size_t position = 0; position < 2 * bytes.size(); ++position) {
+            std::string damaged_bytes = bytes.substr(0, position < bytes.size() ? position : bytes.size());
+            if (position >= bytes.size())
+                damaged_bytes[position - bytes.size()] ^= static_cast<char>(1 + position % 255);
             State other;
             try {
-                State::decode(damaged);
+                State::decode(damaged_bytes);
             } catch (const std::runtime_error&) {
             }
             try {
-                other.apply_update(damaged);
+                other.apply_update(damaged_bytes);
             } catch (const std::runtime_error&) {
             }
             try {
-                kv_store::apply(other, damaged);
+                kv_store::apply(other, damaged_bytes);
             } catch (const std::runtime_error&) {
             }
         }
