--- a/src/consensus/local_voter.cpp
+++ b/src/consensus/local_voter.cpp
@@ -134,7 +134,7 @@
 void LocalVoter::confirm_state() {
     confirm_timer_.reset();
     if (follower_.is_known()) return;
-    if (is_leader() && node_->leads_caught_up()) return follower_.mark_known(self());
+    if (is_leader() && node_->is_caught_up_leader()) return follower_.mark_known(self());
     if (votes() && !is_leader() && !node_->leader().empty()) follower_.poll(node_->leader(), kConfirmTimeout);
     confirm_timer_ =
         loop_.timers().schedule(loop_.clock().now() + kConfirmInterval, [this] { confirm_state(); });
--- a/src/consensus/raft_disk.cpp
+++ b/src/consensus/raft_disk.cpp
@@ -52,43 +52,44 @@
     state_->owner = this;
 }
 
-RaftDisk& RaftDisk::of(raft_io* io) {
+RaftDisk& RaftDisk::disk_of(raft_io* io) {
     return *reinterpret_cast<State*>(io)->owner;
 }
 
 int RaftDisk::open(const std::string& folder, raft_uv_transport* transport,
                    std::unique_ptr<base::DirectoryLock> lock) {
     state_->lock = std::move(lock);
-    const int made = raft_uv_init(io(), loop_.raw(), folder.c_str(), transport);
-    if (made == 0) replace_calls();
-    return made;
+    const int result = raft_uv_init(io(), loop_.raw(), folder.c_str(), transport);
+    if (result == 0) replace_calls();
+    return result;
 }
 
 void RaftDisk::replace_calls() {
     raft_io& io = state_->io;
     library_calls_ = io;
-    io.load = [](raft_io* on, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
-                 raft_entry* entries[],
-                 std::size_t* count) { return of(on).load(term, vote, snapshot, first, entries, count); };
-    io.set_term = [](raft_io* on, raft_term term) {
-        of(on).unwritten_hard_state_ = {.term = term, .vote = {}};
-        of(on).write_hard_state();
+    io.load = [](raft_io* raw, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
+                 raft_entry* entries[], std::size_t* count) {
+        return disk_of(raw).load(term, vote, snapshot, first, entries, count);
+    };
+    io.set_term = [](raft_io* raw, raft_term term) {
+        disk_of(raw).unwritten_hard_state_ = {.term = term, .vote = {}};
+        disk_of(raw).write_hard_state();
         return 0;
     };
-    io.set_vote = [](raft_io* on, raft_id id) {
-        of(on).unwritten_hard_state_.vote = id;
-        of(on).write_hard_state();
+    io.set_vote = [](raft_io* raw, raft_id id) {
+        disk_of(raw).unwritten_hard_state_.vote = id;
+        disk_of(raw).write_hard_state();
         return 0;
     };
-    io.send = [](raft_io* on, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
-        return of(on).send(request, *message, done);
+    io.send = [](raft_io* raw, raft_io_send* request, const raft_message* message, raft_io_send_cb done) {
+        return disk_of(raw).send(request, *message, done);
     };
-    io.append = [](raft_io* on, raft_io_append* request, const raft_entry entries[], unsigned count,
-                   raft_io_append_cb done) { return of(on).append(request, entries, count, done); };
-    io.truncate = [](raft_io* on, raft_index index) { return of(on).truncate(index); };
-    io.snapshot_put = [](raft_io* on, unsigned trailing, raft_io_snapshot_put* request,
+    io.append = [](raft_io* raw, raft_io_append* request, const raft_entry entries[], unsigned count,
+                   raft_io_append_cb done) { return disk_of(raw).append(request, entries, count, done); };
+    io.truncate = [](raft_io* raw, raft_index index) { return disk_of(raw).truncate(index); };
+    io.snapshot_put = [](raft_io* raw, unsigned trailing, raft_io_snapshot_put* request,
                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
-        return of(on).put_snapshot(trailing, request, snapshot, done);
+        return disk_of(raw).put_snapshot(trailing, request, snapshot, done);
     };
 }
 
--- a/src/consensus/raft_disk.h
+++ b/src/consensus/raft_disk.h
@@ -77,7 +77,7 @@
     struct Append;
     struct SnapshotPut;
 
-    static RaftDisk& of(raft_io* io);
+    static RaftDisk& disk_of(raft_io* io);
     void replace_calls();
     Status load(raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
                 raft_entry** entries, std::size_t* count);
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -61,7 +61,7 @@
     bool closed = false;
     bool library_open = false;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    raft_term led_term = 0;                  // the last term in which leads_caught_up() saw it as leader
+    raft_term observed_leader_term = 0;      // the last term in which is_caught_up_leader() saw it lead
     raft_index last_index_when_elected = 0;  // last log index seen in that term; may include later entries
 
     Impl(net::Loop& on_loop, const MessageCodec& codec, const std::string& name, Hooks given)
@@ -91,7 +91,7 @@
     bool votes() const { return started && !failed && !closed; }
     bool leads() { return votes() && raft_state(&raft_instance) == RAFT_LEADER; }
     std::string leader();
-    bool leads_caught_up();
+    bool is_caught_up_leader();
 
     void propose(const std::string& command, ResultCallback done);
     void read(const std::string& key, ResultCallback done);
@@ -224,10 +224,10 @@
 
 // An elected leader has all committed entries in its log, but applies them only after an entry of its own
 // term has been committed.
-bool RaftNode::Impl::leads_caught_up() {
+bool RaftNode::Impl::is_caught_up_leader() {
     if (!leads()) return false;
-    if (led_term != raft_instance.current_term) {
-        led_term = raft_instance.current_term;
+    if (observed_leader_term != raft_instance.current_term) {
+        observed_leader_term = raft_instance.current_term;
         last_index_when_elected = raft_last_index(&raft_instance);
     }
     return raft_last_applied(&raft_instance) >= last_index_when_elected;
@@ -329,8 +329,8 @@
 std::string RaftNode::leader() const {
     return impl_->leader();
 }
-bool RaftNode::leads_caught_up() const {
-    return impl_->leads_caught_up();
+bool RaftNode::is_caught_up_leader() const {
+    return impl_->is_caught_up_leader();
 }
 std::vector<std::string> RaftNode::voters() const {
     return impl_->reconciler.voters();
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -74,7 +74,7 @@
     std::string leader() const;  // a name; empty if none is known
     // True if this voter is the leader and has applied everything that was in its log when it was elected,
     // and thereby everything committed before.
-    bool leads_caught_up() const;
+    bool is_caught_up_leader() const;
     std::vector<std::string> voters() const;  // names; empty for a voter not in known_voters
     std::uint64_t history() const;            // of the log, see RaftDirectory
 
--- a/src/consensus/state_view.cpp
+++ b/src/consensus/state_view.cpp
@@ -15,7 +15,7 @@
 // Until a leader has sent them, a voter's own log may lack committed entries. Only the leader, and members
 // that received the state from it, have all of them.
 bool StateView::is_known() const {
-    if (voter_.is_leader()) return voter_.node().leads_caught_up();
+    if (voter_.is_leader()) return voter_.node().is_caught_up_leader();
     return follower_.is_known();
 }
 
--- a/src/store/store_api.cpp
+++ b/src/store/store_api.cpp
@@ -22,7 +22,7 @@
     std::string buffer;
     base::Micros last_active_at = 0;
 
-    explicit Connection(StoreApi& d) : api(d), last_active_at(d.loop_.clock().now()) {}
+    explicit Connection(StoreApi& owner) : api(owner), last_active_at(owner.loop_.clock().now()) {}
     void on_data(net::Stream&, std::string_view bytes) override {
         buffer += bytes;
         last_active_at = api.loop_.clock().now();
--- a/tests/compatibility/wire_exchange_test.py
+++ b/tests/compatibility/wire_exchange_test.py
@@ -101,9 +101,9 @@
 
 
 def wait_until(condition, description):
-    end = time.monotonic() + BOUND_S
+    deadline = time.monotonic() + BOUND_S
     while not condition():
-        if time.monotonic() > end:
+        if time.monotonic() > deadline:
             raise TimeoutError(description)
         time.sleep(0.02)
 
@@ -118,7 +118,7 @@
         return answer.decode()
 
 
-def platform(transcript, host, cache):
+def record_platform_exchanges(transcript, host, cache):
     transcript.start_section("platform: Thrift frames in hex, and what the pop cache was asked")
     with socket.create_connection((host, CLIENTS), timeout=BOUND_S) as conn:
         object_id = b"7f3a9c21e0b4d655"
@@ -139,7 +139,7 @@
         transcript.add(normalize(repr(request)))
 
 
-def ops(transcript, host):
+def record_admin_calls(transcript, host):
     transcript.start_section("operators' calls")
     for method, path in (("GET", "/ops/readiness"), ("POST", "/ops/readiness"), ("POST", "/ops/pop-caches/down/s-a"), ("POST", "/ops/pop-caches/down/none"),
                          ("POST", "/ops/pop-caches/up/s-a"), ("POST", "/ops/pop-caches/down/%%%"), ("GET", "/ops/nothing"),
@@ -160,7 +160,7 @@
     transcript.add(repr(http((host, OPS), "\x01\x02 nothing\r\n\r\n")))
 
 
-def store(transcript, host):
+def record_store_exchanges(transcript, host):
     transcript.start_section("store: a JSON object a line")
     with socket.create_connection((host, STORE), timeout=BOUND_S) as conn, conn.makefile() as answers:
         for question in ('{"set": "revoked/j-17", "value": "yes"}', '{"set": "key/k", "value": "perhaps"}',
@@ -172,7 +172,7 @@
             transcript.add(f"> {question}\n< {normalize(re.sub(r'promoted.:[0-9]+', 'promoted:N', answer))}")
 
 
-def signed(transcript, host, program, operator, cache):
+def record_signed_links(transcript, host, program, operator, cache):
     transcript.start_section("signed links")
 
     def run_tool(*arguments):
@@ -180,23 +180,23 @@
     token = run_tool("sign-token", "--operator", operator, "--student-key", "student-1", "--student", "ana")
     other = run_tool("sign-token", "--operator", operator, "--student-key", "student-1", "--student", "bea")
 
-    def link(target, *more):
+    def link(target, *options):
         full = run_tool("sign-url", "--operator", operator, "--link-key", "link-1", "--subject-key", "subject-1", "--student", "ana",
-                    *more, target)
+                    *options, target)
         return "/" + full.split("/", 3)[3]
     video = link("/video/7f3a9c21e0b4d655/3?set=17&need=40")
     once = link("/enrol/00000000000000e1", "--one-time", "j-1")
     cache.requests.clear()
-    for title, method, target, bearer, more in (
+    for title, method, target, bearer, headers in (
             ("served", "GET", video, token, ""), ("no token", "GET", video, "", ""), ("another's", "GET", video, other, ""),
             ("forged", "GET", video[:-4] + "AAAA", token, ""), ("no link", "GET", "/video/7f3a9c21e0b4d655/3", token, ""),
             ("no target", "GET", "/nothing", token, ""), ("wrong method", "PUT", video, token, ""),
             ("once", "POST", once, token, "Content-Length: 4\r\n"), ("twice", "POST", once, token, "Content-Length: 4\r\n"),
             ("same copy", "GET", video, token, 'If-None-Match: "e1"\r\n')):
         bearer = f"Authorization: Bearer {bearer}\r\n" if bearer else ""
-        body = "four" if "Content-Length" in more else ""
+        body = "four" if "Content-Length" in headers else ""
         answer = http((host, SIGNED), f"{method} {target} HTTP/1.1\r\nHost: cache.example.org\r\nConnection: close\r\n"
-                                      f"{bearer}{more}\r\n{body}")
+                                      f"{bearer}{headers}\r\n{body}")
         transcript.add(f"> {title}")
         transcript.add(re.sub(r"Date: [^\\]+", "Date: D", repr(answer)))
     for request in cache.requests:
@@ -298,7 +298,7 @@
     received.append(conn)
 
 
-def command_line(transcript, program):
+def record_command_line(transcript, program):
     transcript.start_section("command line")
     data = os.path.join(HERE, "data")
     example = os.path.join(HERE, "..", "..", "example")
@@ -315,7 +315,7 @@
         transcript.add(re.sub(r'("age_us" : )\d+', r"\1N", output))
 
 
-def simulator(transcript, adapter):
+def record_simulator_run(transcript, adapter):
     """Sends random messages for two instances and records the adapter's response to each batch."""
     transcript.start_section("simulator")
     rng = random.Random(20261203)
@@ -384,10 +384,10 @@
         wait_until(lambda: '"serving"' in http((host, OPS), "GET /ops/recovery HTTP/1.1\r\nHost: ops\r\n\r\n"), "the last phase of recovery")
         transcript.start_section("change log")
         transcript.add(normalize(repr(received[0])))
-        platform(transcript, host, cache)
-        signed(transcript, host, program, os.path.join(folder, "operator.toml"), cache)
-        store(transcript, host)
-        ops(transcript, host)
+        record_platform_exchanges(transcript, host, cache)
+        record_signed_links(transcript, host, program, os.path.join(folder, "operator.toml"), cache)
+        record_store_exchanges(transcript, host)
+        record_admin_calls(transcript, host)
     finally:
         status = stop(proc)
     if status:
@@ -396,8 +396,8 @@
     if "--record" in sys.argv:
         record_log(folder, program, net)
     start_from_stored_log(transcript, folder, program, net)
-    command_line(transcript, program)
-    simulator(transcript, adapter)
+    record_command_line(transcript, program)
+    record_simulator_run(transcript, adapter)
     guard.close()
     if "--record" in sys.argv:
         with open(RECORD, "w", encoding="utf-8") as out:
