--- a/src/rollout/codec.cpp
+++ b/src/rollout/codec.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t kHeaderSize = 2;  // version and type
 constexpr std::size_t kMinCommandSize = 6;
-constexpr std::size_t kMinLeaseRequestSize = 12;  // as written before releases
+constexpr std::size_t kMinLeaseRequestSize = 12;  // as encoded by versions without releases
 constexpr std::size_t kReleaseCommandSize = 7;
 constexpr std::size_t kFleetMemberSize = 6;
 constexpr std::size_t kResultSize = 4;
@@ -56,7 +56,7 @@
     request.budget.min_interval_in_zone = reader.next<Micros>();
     for (MsgpackReader fleet = reader.list(kMaxMembers); fleet.remaining() > 0;)
         request.fleet.push_back(read_fleet_member(fleet.array(kFleetMemberSize)));
-    if (reader.remaining() < 3) return request;  // of the version before releases
+    if (reader.remaining() < 3) return request;  // encoded by a version without releases
     request.release = reader.next<std::uint64_t>();
     request.running = fields::read_running_version(reader);
     return request;
@@ -68,7 +68,7 @@
     lease_return.member = reader.text(kMaxNameLength);
     lease_return.requested_by = reader.text(kMaxNameLength);
     lease_return.now = reader.next<Micros>();
-    if (reader.remaining() < 2) return lease_return;  // of the version before releases
+    if (reader.remaining() < 2) return lease_return;  // encoded by a version without releases
     lease_return.running = fields::read_running_version(reader);
     return lease_return;
 }
--- a/src/rollout/codec.h
+++ b/src/rollout/codec.h
@@ -1,6 +1,6 @@
-// The encoded form of rollout commands, their results and members' reports: MessagePack, commands with a
-// version first. The bytes are stored in the replicated log and sent between proxies of different versions:
-// fields are only ever added at the end of an array.
+// MessagePack encoding of rollout commands, command results and member reports. Each command starts with a
+// format version. The bytes are stored in the replicated log and exchanged between proxies of different
+// versions, so new fields may only be appended to an array.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 namespace sumackeel::rollout {
 
-// Bytes that can't be decoded. All decoding functions of this module throw it.
+// Thrown by all decoding functions of this module when the bytes cannot be decoded.
 class CodecError : public std::runtime_error {
   public:
     enum class Code : std::uint8_t {
-        malformed,            // no MessagePack, a field missing or of another type, a bound exceeded
-        unsupported_version,  // written by a later version
+        malformed,            // not MessagePack, a missing or mistyped field, or a size limit exceeded
+        unsupported_version,  // written by a newer version
         unknown_command,
-        inconsistent,  // well formed, with values that contradict each other
+        inconsistent,  // well formed, but the values contradict each other
     };
     explicit CodecError(Code code) : std::runtime_error("bytes that can't be read"), code_(code) {}
     Code code() const { return code_; }
@@ -32,9 +32,9 @@
 std::string encode(const LeaseReturn& lease_return);
 std::string encode(const ReleaseCommand& command);
 std::string encode(const ReleaseStep& step);
-// Decodes any of the above and applies it. Throws CodecError; the state is then unchanged.
+// Decodes any of the commands above and applies it. Throws CodecError, leaving the state unchanged.
 CommandResult apply(State& state, std::string_view command);
-// Throws CodecError, also on another kind of command.
+// Throws CodecError, also if the bytes hold another type of command.
 ReleaseCommand decode_release_command(std::string_view command);
 
 std::string encode(const CommandResult& result);
--- a/src/rollout/codec_fields.cpp
+++ b/src/rollout/codec_fields.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t kGateRatios = 2;  // in an array of their own
+constexpr std::size_t kGateRatios = 2;  // encoded as a nested array
 constexpr std::size_t kReportedVersionSize = 3;
 
 void write_sum(MsgpackWriter& writer, const MetricsSum& sum) {
@@ -36,7 +36,7 @@
     lease.requested_by = reader.text(kMaxNameLength);
     lease.since = reader.next<Micros>();
     lease.forced = reader.next<bool>();
-    if (reader.remaining() < 2) return lease;  // of the version before releases
+    if (reader.remaining() < 2) return lease;  // encoded by a version without releases
     lease.release = reader.next<std::uint64_t>();
     lease.start = reader.next<std::uint64_t>();
     return lease;
--- a/src/rollout/codec_fields.h
+++ b/src/rollout/codec_fields.h
@@ -1,4 +1,4 @@
-// Fields that the encoded commands and the encoded state have in common. Internal to the module's codec.
+// Codec for the fields that commands and the replicated state share. Internal to the rollout codec.
 #pragma once
 
 #include <cstddef>
@@ -19,11 +19,11 @@
 
 // Throws CodecError unless the condition holds.
 void require(bool condition, CodecError::Code code);
-// Throws CodecError unless the next value is the version.
+// Throws CodecError unless the next value is kVersion.
 void require_version(MsgpackReader& reader);
 
-// Parses `bytes` as an array of at least `min_size` values, and calls `decode` with a reader of it. What the
-// reader throws becomes CodecError::Code::malformed.
+// Parses `bytes` as an array of at least `min_size` values and calls `decode` with a reader for it. Reader
+// exceptions are converted to CodecError::Code::malformed.
 template <typename Decode>
 auto decode_array(std::string_view bytes, std::size_t min_size, Decode decode) {
     try {
@@ -38,7 +38,7 @@
     }
 }
 
-// Each read_... takes its values from the reader in the order in which write() adds them.
+// Each read_... function reads the values in the order in which the matching write() adds them.
 void write(MsgpackWriter& writer, const Lease& lease);
 Lease read_lease(MsgpackReader reader);
 
@@ -51,12 +51,12 @@
 void write(MsgpackWriter& writer, const Release& release);
 Release read_release(MsgpackReader reader);
 
-// The next two values.
+// Reads the next two values.
 RunningVersion read_running_version(MsgpackReader& reader);
-// All values that are left.
+// Reads all remaining values.
 std::vector<std::string> read_names(MsgpackReader reader);
 
-// Array sizes of the first version that wrote them; later ones are longer.
+// Array sizes as encoded by the first version that supported them; later versions append fields.
 constexpr std::size_t kMinLeaseSize = 7;
 constexpr std::size_t kPlanSize = 13;
 constexpr std::size_t kReleaseSize = 12;
--- a/src/rollout/disruption_budget.cpp
+++ b/src/rollout/disruption_budget.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Who is out now, as far as it bears on one request.
+// The unavailable members that are relevant to one request.
 struct Disruption {
     std::vector<std::string> out_in_zone;
     std::vector<std::string> out_in_fleet;
-    std::vector<std::string>
-        out_in_related_zones;  // in the zone's parent region, or in zones that it is parent of
+    std::vector<std::string> out_in_related_zones;  // in the zone's parent region, or in zones that have this
+                                                    // zone as their parent region
     std::size_t zone_members = 0;
     double zone_weight = 0;
     double zone_weight_out = 0;
@@ -60,7 +60,7 @@
 std::optional<BudgetRejection> check_disruption_budget(const LeaseRequest& request, const FleetMember& member,
                                                        const LeaseMap& leases,
                                                        std::optional<Micros> last_return_in_zone) {
-    if (member.unavailable) return std::nullopt;  // it is out already: a lease adds none
+    if (member.unavailable) return std::nullopt;  // already unavailable: a lease takes no further capacity
     Disruption disruption;
     add_listed_members(disruption, request, member, leases);
     add_unlisted_holders(disruption, request, member, leases);
--- a/src/rollout/disruption_budget.h
+++ b/src/rollout/disruption_budget.h
@@ -1,4 +1,4 @@
-// The rules of the disruption budget: whether one more member may be out. Pure.
+// Evaluates the disruption budget: whether one more member may be taken out of service. Pure functions.
 #pragma once
 
 #include <optional>
@@ -10,13 +10,14 @@
 namespace sumackeel::rollout {
 
 struct BudgetRejection {
-    std::string reason;                   // which rule
-    std::vector<std::string> blocked_by;  // the members that are out
+    std::string reason;                   // which rule rejected the request
+    std::vector<std::string> blocked_by;  // the unavailable members
 };
 
-// The rule that `request` breaks, if any. `member` is the request's entry in its own fleet. Members that are
-// unavailable by themselves count as out, and so do holders of leases that the fleet no longer lists.
-// `last_return_in_zone`: when a member of the zone last returned a lease, if ever.
+// Returns the first rule that `request` violates, if any. `member` is the requesting member's entry in
+// `request.fleet`. Members that are unavailable for other reasons count against the budget, and so do lease
+// holders that the fleet no longer lists. `last_return_in_zone`: when a member of the zone last returned a
+// lease; empty: never.
 std::optional<BudgetRejection> check_disruption_budget(const LeaseRequest& request, const FleetMember& member,
                                                        const LeaseMap& leases,
                                                        std::optional<Micros> last_return_in_zone);
--- a/src/rollout/gate.cpp
+++ b/src/rollout/gate.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Standard deviations beyond which a difference isn't put down to chance; a soak compares some hundred times.
+// Significance threshold in standard deviations; high because a soak runs the comparison a few hundred times.
 constexpr double kSignificance = 4;
-constexpr std::uint64_t kMinRequestsToFail = 30;  // on each side
-constexpr std::uint64_t kMinBadRequests = 5;      // below, the normal approximation doesn't hold
-// Differences below these don't matter.
+constexpr std::uint64_t kMinRequestsToFail = 30;  // in each group
+constexpr std::uint64_t kMinBadRequests = 5;      // with fewer, the normal approximation is not valid
+// Smaller differences are ignored.
 constexpr double kDispatchTimeToleranceUs = 1'000;
 constexpr double kMemoryToleranceKb = 16'384;
 
-// A part of a number of requests.
+// A subset of a number of requests.
 struct Share {
     std::uint64_t count = 0;
     std::uint64_t requests = 0;
@@ -31,7 +31,7 @@
     return ratio(share.count, share.requests);
 }
 
-// Whether a share is larger than another by more than `allowed` and by more than chance explains.
+// Whether the changed share exceeds the unchanged comparison by more than `allowed` and significantly.
 bool is_worse(const Share& changed, const Share& unchanged, double allowed) {
     if (changed.count < kMinBadRequests || unchanged.requests == 0) return false;
     const double pooled = ratio(changed.count + unchanged.count, changed.requests + unchanged.requests);
@@ -71,10 +71,10 @@
          thresholds.max_rejection_increase},
         {"late", late(changed), late(unchanged), thresholds.max_late_increase},
     };
-    for (const Comparison& one : comparisons)
-        if (is_worse(one.changed, one.unchanged, one.allowed))
-            return failed(fmt::format("{} {}, {} of the others", percent(one.changed), one.name,
-                                      percent(one.unchanged)));
+    for (const Comparison& comparison : comparisons)
+        if (is_worse(comparison.changed, comparison.unchanged, comparison.allowed))
+            return failed(fmt::format("{} {}, {} of the others", percent(comparison.changed), comparison.name,
+                                      percent(comparison.unchanged)));
     return {};
 }
 
--- a/src/rollout/gate.h
+++ b/src/rollout/gate.h
@@ -1,5 +1,5 @@
-// The gate after each wave of a release: whether the changed members are worse than the unchanged ones by
-// more than the plan allows and chance explains. Pure.
+// The gate after each wave of a release. It fails if the changed members perform worse than the unchanged
+// ones by more than the plan allows and by a statistically significant difference. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 struct GateResult {
     GateOutcome outcome = GateOutcome::undecided;
-    std::string reason;  // of a failure
+    std::string reason;  // set if the gate failed
 };
 
-// Compares sums over the same span of time. A gate may fail at any time, and passes only once the soak is
-// complete and both sides have GateThresholds::min_requests.
+// Compares metrics collected over the same period. The gate may fail at any time; it passes only once the
+// soak is complete and both groups have served GateThresholds::min_requests.
 GateResult evaluate_gate(const MetricsSum& changed, const MetricsSum& unchanged,
                          const GateThresholds& thresholds, bool soak_complete);
 
--- a/src/rollout/release_simulation.cpp
+++ b/src/rollout/release_simulation.cpp
@@ -10,26 +10,27 @@
 
 namespace {
 
-constexpr Micros kTick = 500'000;                     // as often as the leader looks
-constexpr Micros kRetryInterval = 1 * base::kSecond;  // of rejected lease requests, where an interval binds
-constexpr std::size_t kSimulatedLatencyBucket = 2;    // responses take up to 4 ms
+constexpr Micros kTick = 500'000;  // the leader's evaluation interval
+constexpr Micros kRetryInterval =
+    1 * base::kSecond;  // for rejected lease requests if min_interval_in_zone is set
+constexpr std::size_t kSimulatedLatencyBucket = 2;  // responses of up to 4 ms
 constexpr const char* kRequester = "rehearsal";
 
 struct SimulatedMember {
     FleetMember member;
     RunningVersion running;
     MemberMetrics metrics;
-    std::optional<Micros> changed_at;     // when its change under way is complete
+    std::optional<Micros> changed_at;     // when its current change completes
     std::optional<Micros> waiting_since;  // for an upgrade lease
     bool dead = false;
 };
 
 class Simulation {
   public:
-    explicit Simulation(const SimulationPlan& given) : given_(given), random_(given.seed) {
-        for (const FleetMember& member : given.fleet)
+    explicit Simulation(const SimulationPlan& plan) : plan_(plan), random_(plan.seed) {
+        for (const FleetMember& member : plan.fleet)
             members_[member.name] = {.member = member,
-                                     .running = {1, given.plan.from},
+                                     .running = {1, plan.plan.from},
                                      .metrics = {},
                                      .changed_at = {},
                                      .waiting_since = {},
@@ -38,11 +39,11 @@
     }
 
     SimulationResult run() {
-        while (state_.releases().active() && now_ < given_.longest) {
+        while (state_.releases().active() && now_ < plan_.longest) {
             now_ += kTick;
             for (auto& [name, member] : members_) advance(name, member);
-            const bool interval_binds = given_.budget.min_interval_in_zone > 0;
-            if (state_changed_ || (interval_binds && now_ - last_requests_ >= kRetryInterval))
+            const bool has_min_interval = plan_.budget.min_interval_in_zone > 0;
+            if (state_changed_ || (has_min_interval && now_ - last_requests_ >= kRetryInterval))
                 request_leases();
             propose_step();
             measure_disruption();
@@ -57,7 +58,7 @@
         ReleaseCommand command{.action = ReleaseAction::start,
                                .requested_by = kRequester,
                                .now = 0,
-                               .plan = given_.plan,
+                               .plan = plan_.plan,
                                .live_members = {}};
         for (const auto& [name, member] : members_)
             if (!member.dead) command.live_members.push_back(name);
@@ -83,12 +84,12 @@
         return !member.dead && !state_.find(MemberKind::proxy, name);
     }
     bool runs_new_version(const SimulatedMember& member) const {
-        return member.running.version == given_.plan.to;
+        return member.running.version == plan_.plan.to;
     }
 
     void advance(const std::string& name, SimulatedMember& member) {
-        const auto death = given_.dies.find(name);
-        if (death != given_.dies.end() && now_ >= death->second && !member.dead) {
+        const auto death = plan_.dies.find(name);
+        if (death != plan_.dies.end() && now_ >= death->second && !member.dead) {
             member.dead = true;
             state_changed_ = true;
         }
@@ -110,12 +111,12 @@
     }
 
     void serve_requests(const std::string& name, SimulatedMember& member) {
-        const double requests = given_.requests_per_s * static_cast<double>(kTick) / 1e6;
+        const double requests = plan_.requests_per_s * static_cast<double>(kTick) / 1e6;
         const bool is_new = runs_new_version(member);
         requests_ += requests;
         if (is_new) requests_to_new_version_ += requests;
-        const auto fault = given_.fails.find(name);
-        const double failure_share = is_new && fault != given_.fails.end() ? fault->second : 0.0;
+        const auto fault = plan_.fails.find(name);
+        const double failure_share = is_new && fault != plan_.fails.end() ? fault->second : 0.0;
         const auto whole_requests = static_cast<std::uint64_t>(requests);
         std::binomial_distribution<std::uint64_t> failures(whole_requests, failure_share);
         const std::uint64_t failed = failures(random_);
@@ -143,8 +144,8 @@
         }));
     }
 
-    // All members that are due request their leases, in order, until the budget of the whole fleet is used
-    // up.
+    // All members that are due request their leases in plan order, until the budget for the whole fleet is
+    // exhausted.
     void request_leases() {
         state_changed_ = false;
         last_requests_ = now_;
@@ -156,20 +157,20 @@
                              .requested_by = kRequester,
                              .forced = false,
                              .now = now_,
-                             .budget = given_.budget,
+                             .budget = plan_.budget,
                              .fleet = current_fleet(),
                              .release = release->number,
                              .running = {}};
         const std::size_t due = release->stage == ReleaseStage::rolling_back
-                                    ? given_.plan.members.size()
-                                    : given_.plan.members_through(release->wave);
+                                    ? plan_.plan.members.size()
+                                    : plan_.plan.members_through(release->wave);
         int out = count_out();
         for (std::size_t i = 0; i < due; ++i) {
-            SimulatedMember& member = members_.at(given_.plan.members[i]);
+            SimulatedMember& member = members_.at(plan_.plan.members[i]);
             if (member.dead || member.changed_at || member.running.version == target_version_) continue;
             if (!member.waiting_since) member.waiting_since = now_;
-            if (out >= given_.budget.max_unavailable) continue;
-            request.member = given_.plan.members[i];
+            if (out >= plan_.budget.max_unavailable) continue;
+            request.member = plan_.plan.members[i];
             request.running = member.running;
             if (state_.apply(request).outcome != Outcome::granted) continue;
             ++out;
@@ -178,7 +179,7 @@
     }
 
     void on_lease_granted(const std::string& name, SimulatedMember& member) {
-        member.changed_at = now_ + given_.change;
+        member.changed_at = now_ + plan_.change;
         watch_.on_lease(name, member.running.start);
         const Micros waited = now_ - *member.waiting_since;
         member.waiting_since.reset();
@@ -228,7 +229,7 @@
         }
     }
 
-    const SimulationPlan& given_;
+    const SimulationPlan& plan_;
     std::mt19937_64 random_;
     State state_;
     ReleaseWatch watch_;
--- a/src/rollout/release_watch.cpp
+++ b/src/rollout/release_watch.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-// After a longer gap between two calls the leader was stopped, and its observations are too old.
+// A longer gap between two calls means that the leader was suspended and its observations are stale.
 constexpr Micros kMaxCallInterval = 3'000'000;
-// Reports come each half second, later in large fleets; after this long a member reports nothing.
+// Members report every 0.5 s, less often in large fleets; after this time a member counts as silent.
 constexpr Micros kReportTimeout = 10'000'000;
 
 bool is_listed(const std::vector<std::string>& names, const std::string& name) {
@@ -46,13 +46,13 @@
             plan.members.begin() + static_cast<std::ptrdiff_t>(end)};
 }
 
-// How many latency buckets hold responses in time.
+// The number of latency buckets that count responses in time.
 std::size_t buckets_in_time(Micros in_time) {
     const auto milliseconds = static_cast<std::uint64_t>(std::max<Micros>(1, in_time / 1'000));
     return std::min<std::size_t>(kLatencyBuckets, std::bit_width(std::bit_ceil(milliseconds)));
 }
 
-// What one member did between two of its reports.
+// The metrics of one member between two of its reports.
 MetricsSum difference(const MemberMetrics& first, const MemberMetrics& last, Micros in_time) {
     MetricsSum sum;
     sum.requests = last.requests() - first.requests();
@@ -73,8 +73,8 @@
     const auto [found, inserted] = observations_.try_emplace(report.member, Observation{report, report, now});
     Observation& observation = found->second;
     const MemberReport& last = observation.last;
-    if (report.start < last.start) return;  // of a process that has been replaced
-    // Another process of the member, or the same with other settings, counts from here.
+    if (report.start < last.start) return;  // from a replaced process
+    // A new process of the member, or a reload with other settings, starts a new observation.
     if (report.start > last.start || report.version != last.version ||
         report.metrics.requests() < last.metrics.requests())
         observation.first = report;
@@ -83,8 +83,8 @@
 }
 
 void ReleaseWatch::begin_stage(const Release& release, Micros now) {
-    // One step on, known starts still hold, so that a restart between two calls is seen. After a halt or a
-    // gap they don't.
+    // The known start numbers stay valid for the directly following step, so that a restart between two calls
+    // is detected. After a halt or a gap they do not.
     if (release.number != release_number_ || release.steps != release_steps_ + 1) starts_.clear();
     release_number_ = release.number;
     release_steps_ = release.steps;
@@ -94,7 +94,7 @@
     unchanged_ = MetricsSum{};
 }
 
-// Names a member of the plan that restarted without a lease; empty: none.
+// Returns a member of the plan that restarted without a lease; empty: none.
 std::string ReleaseWatch::find_unexpected_restart(const Release& release,
                                                   const std::vector<MemberStatus>& members) {
     for (const MemberStatus& member : members) {
@@ -104,7 +104,7 @@
         if (observed != observations_.end()) start = std::max(start, observed->second.last.start);
         const auto [known, inserted] = starts_.try_emplace(member.name, start);
         if (start <= known->second) continue;
-        // The first start after the one that got the lease is what the lease was for.
+        // The first restart of the process that was granted the lease is expected.
         const auto lease = lease_starts_.find(member.name);
         const bool expected =
             member.leased || (lease != lease_starts_.end() && known->second <= lease->second);
@@ -157,7 +157,7 @@
     }
 }
 
-// Names a member of the wave that has sent no report for too long; empty: none.
+// Returns a member of the wave that has not reported within kReportTimeout; empty: none.
 std::string ReleaseWatch::find_silent_member(const Release& release, Micros now) const {
     for (const std::string& name : members_of_wave(release)) {
         if (is_listed(release.skipped_members, name)) continue;
@@ -191,7 +191,7 @@
                                                          Micros now) const {
     const Plan& plan = release.plan;
     if (!deviations.unchanged.empty()) return std::nullopt;
-    // Lost members get the time of one wave to return: an operator may be setting them up again.
+    // Lost members get the time limit of one wave to return: an operator may be reinstalling them.
     if (!deviations.lost.empty() && now - stage_began_ < plan.wave_timeout) return std::nullopt;
     const std::string reason = deviations.lost.empty() ? "all run " + plan.from
                                                        : fmt::format("without {}, which are not there",
@@ -215,10 +215,10 @@
     const Plan& plan = release.plan;
     sum_metrics(release, members);
     const bool soak_complete = now - stage_began_ >= plan.soak;
-    // In the last waves too few members are left unchanged; the last passed gate's stand in for them.
+    // In the last waves too few members are unchanged; use the metrics of the last passed gate instead.
     const bool use_baseline = unchanged_.requests < plan.gate.min_requests && release.baseline;
     const MetricsSum& unchanged = use_baseline ? *release.baseline : unchanged_;
-    // One bad member among many would not show in the sum.
+    // A single bad member among many would not be visible in the sum.
     for (const auto& [name, sum] : by_changed_member_) {
         const GateResult result = evaluate_gate(sum, unchanged, plan.gate, false);
         if (result.outcome == GateOutcome::failed) return fail_gate(release, name + ": ", result.reason);
--- a/src/rollout/release_watch.h
+++ b/src/rollout/release_watch.h
@@ -1,5 +1,5 @@
-// What the leader observes of a release, and the step that follows from it. Pure: reports and member states
-// in, a step out. The leader alone keeps it: a new leader begins with nothing and measures the soak anew.
+// The leader's observations of a release, from which it derives the next step. Pure: takes reports and member
+// states and returns a step. Not replicated: a new leader starts empty and restarts the soak.
 #pragma once
 
 #include <cstdint>
@@ -12,41 +12,41 @@
 
 namespace sumackeel::rollout {
 
-// One proxy as the cluster's membership shows it to the leader.
+// One proxy, as seen in the leader's view of the cluster membership.
 struct MemberStatus {
     std::string name;
     std::string version;
-    std::uint64_t start = 0;  // as RunningVersion::start
+    std::uint64_t start = 0;  // see RunningVersion::start
     bool alive = false;
-    bool gone = false;     // dead, or left
+    bool gone = false;     // dead or left
     bool leased = false;   // holds a lease of any kind
     bool serving = false;  // alive, and neither leased nor draining
 };
 
 class ReleaseWatch {
   public:
-    // A member's own report; the newest of each is kept while a release is active.
+    // Records a member's report; the newest report of each member is kept while a release is active.
     void on_report(const MemberReport& report, Micros now);
-    // A lease that is out, also one that ends before the next call of next_step(). `start`: of its holder
-    // when it got the lease.
+    // Records a granted lease, including one that ends before the next call of next_step(). `start`: the
+    // start number of the holder at the time of the grant.
     void on_lease(const std::string& member, std::uint64_t start) { lease_starts_[member] = start; }
-    // The step that is due, if any. `members`: all proxies. `now`: monotonic.
+    // Returns the step that is due, if any. `members`: all proxies. `now`: monotonic time.
     std::optional<ReleaseStep> next_step(const Release& release, const std::vector<MemberStatus>& members,
                                          Micros now);
-    // Sums of the current soak, for status pages: of the wave, and of the unchanged members.
+    // Sums over the current soak, for status pages: of the current wave, and of the unchanged members.
     const MetricsSum& changed() const { return changed_; }
     const MetricsSum& others() const { return unchanged_; }
 
   private:
     struct Observation {
-        MemberReport first;  // of the process that runs now, since this stage began
+        MemberReport first;  // of the current process, since this stage began
         MemberReport last;
         Micros reported_at = 0;
     };
-    // Members of the plan that are not as the stage wants them.
+    // Members of the plan that are not in the state that the stage requires.
     struct Deviations {
         std::vector<std::string> lost;
-        std::vector<std::string> unchanged;  // there, but not serving with the target version
+        std::vector<std::string> unchanged;  // present, but not serving with the target version
     };
 
     void begin_stage(const Release& release, Micros now);
@@ -67,8 +67,8 @@
     Micros stage_began_ = 0;
     Micros last_call_ = 0;
     std::map<std::string, Observation> observations_;
-    std::map<std::string, std::uint64_t> starts_;        // the newest known start of each member
-    std::map<std::string, std::uint64_t> lease_starts_;  // the start of the last lease's holder
+    std::map<std::string, std::uint64_t> starts_;        // the highest known start number of each member
+    std::map<std::string, std::uint64_t> lease_starts_;  // the start number of the last lease's holder
     MetricsSum changed_;
     MetricsSum unchanged_;
     std::map<std::string, MetricsSum> by_changed_member_;
--- a/src/rollout/rollout.h
+++ b/src/rollout/rollout.h
@@ -1,6 +1,6 @@
-// All of the rollout module's replicated state: drain leases and the disruption budget, staged releases, and
-// the encoded form of their commands. The release's observation by the leader is in release_watch.h, its
-// simulation in release_simulation.h.
+// Umbrella header for the replicated state of the rollout module: drain leases, the disruption budget, staged
+// releases and the command codec. The leader's observation of a release is in release_watch.h, the simulation
+// in release_simulation.h.
 #pragma once
 
 #include "rollout/codec.h"    // IWYU pragma: export
--- a/src/rollout/state.cpp
+++ b/src/rollout/state.cpp
@@ -18,7 +18,7 @@
     return {Outcome::none, 0, std::move(reason), {}};
 }
 
-// The requested member's entry in the fleet; null: the fleet doesn't list it.
+// The requesting member's entry in the fleet; null if the fleet does not list it.
 const FleetMember* find_requested(const LeaseRequest& request) {
     const auto found = std::find_if(request.fleet.begin(), request.fleet.end(),
                                     [&](const FleetMember& member) { return member.name == request.member; });
@@ -36,7 +36,7 @@
     return found == leases_.end() ? nullptr : &found->second;
 }
 
-// Only of an upgrade lease.
+// For upgrade leases only.
 std::optional<CommandResult> State::upgrade_not_needed(const LeaseRequest& request) const {
     const Release* release = releases_.active();
     if (!release || release->number != request.release) return not_needed("that release is over");
@@ -51,7 +51,7 @@
     if (is_upgrade)
         if (std::optional<CommandResult> result = upgrade_not_needed(request)) return *std::move(result);
     const Release* release = is_upgrade ? releases_.active() : nullptr;
-    // The answer to an upgrade lease names the version that the member is to run.
+    // The result of an upgrade lease request contains the version that the member has to run.
     const auto granted = [&](std::uint64_t number) {
         return CommandResult{
             Outcome::granted, number, release ? release->target_version() : std::string{}, {}};
--- a/src/rollout/state.h
+++ b/src/rollout/state.h
@@ -1,12 +1,12 @@
-// The replicated state of rollouts, which the replicated log drives: leases that are out, and releases.
+// The replicated state of rollouts, a state machine of the replicated log: granted leases, and releases.
 //
-// Pure: all that a command is judged by is in the command, so that each replica that applies the same
-// commands has the same state.
+// Pure: each command contains all inputs of its evaluation, so that all replicas that apply the same commands
+// have the same state.
 //
-// Invariants: a member has one lease at a time, and a repeated request gives the same one; lease numbers only
-// grow; no grant that was not forced leaves more members out than its budget allows; a member that is out by
-// itself uses up budget, and forces nobody. A lease ends only by its return: the lease of a dead holder is
-// out.
+// Invariants: a member has at most one lease, and a repeated request returns the same lease; lease numbers
+// only increase; a grant that is not forced never exceeds its disruption budget; a member that is unavailable
+// for another reason counts against the budget, and never overrides it. A lease ends only by its return: the
+// lease of a dead holder stays granted.
 #pragma once
 
 #include <cstdint>
@@ -24,30 +24,30 @@
 
 class State {
   public:
-    // A lease request. granted (also to a member that holds its lease already), rejected, or none: an upgrade
-    // lease that is not needed.
+    // Result: granted (also if the member already holds the lease), rejected, or none: the upgrade lease is
+    // not needed.
     CommandResult apply(const LeaseRequest& request);
-    // returned, or none: the member has no lease.
+    // Result: returned, or none: the member has no lease.
     CommandResult apply(const LeaseReturn& lease_return);
-    // An operator's command; granted with the release's number, or rejected.
+    // An operator's command. Result: granted with the release number, or rejected.
     CommandResult apply(const ReleaseCommand& command);
-    // A step of the leader; granted with the release's number, or none: another step came first.
+    // A step of the leader. Result: granted with the release number, or none: another step was applied first.
     CommandResult apply(const ReleaseStep& step);
-    // What a request would lead to now; changes nothing.
+    // Returns the result that a request would have now, without changing the state.
     CommandResult evaluate(const LeaseRequest& request) const;
 
     const LeaseMap& leases() const { return leases_; }
-    // Null: the member has no lease. Valid until the next change.
+    // Null if the member has no lease. Valid until the next change.
     const Lease* find(MemberKind kind, const std::string& member) const;
     std::uint64_t last_number() const { return last_number_; }
-    // Grows by one with each change.
+    // Increases by one with each change.
     std::uint64_t revision() const { return revision_; }
-    // The newest forced leases, also those returned since; at most kMaxForcedRecords.
+    // The newest forced leases, including returned ones; at most kMaxForcedRecords.
     const std::vector<Lease>& forced() const { return forced_; }
     const Releases& releases() const { return releases_; }
     bool operator==(const State&) const = default;
 
-    // MessagePack, with a version. decode throws CodecError.
+    // MessagePack, with a format version. decode() throws CodecError.
     std::string encode() const;
     static State decode(std::string_view bytes);
 
--- a/src/rollout/state_codec.cpp
+++ b/src/rollout/state_codec.cpp
@@ -1,4 +1,4 @@
-// The encoded form of the state, as the replicated log's snapshots hold it.
+// Encoding of the state in the snapshots of the replicated log.
 #include "rollout/codec_fields.h"
 #include "rollout/state.h"
 
@@ -10,7 +10,7 @@
 using base::MsgpackWriter;
 
 constexpr std::size_t kStateSize = 8;
-constexpr std::size_t kMinStateSize = 6;  // as written before releases
+constexpr std::size_t kMinStateSize = 6;  // as encoded by versions without releases
 constexpr std::size_t kLastReturnSize = 3;
 
 }  // namespace
@@ -52,7 +52,7 @@
         }
         for (MsgpackReader forced = reader.list(kMaxForcedRecords); forced.remaining() > 0;)
             state.forced_.push_back(fields::read_lease(forced.array(fields::kMinLeaseSize)));
-        if (reader.remaining() < 2) return state;  // of the version before releases
+        if (reader.remaining() < 2) return state;  // encoded by a version without releases
         state.releases_.last_number_ = reader.next<std::uint64_t>();
         for (MsgpackReader releases = reader.list(kMaxPastReleases + 1); releases.remaining() > 0;) {
             Release release = fields::read_release(releases.array(fields::kReleaseSize));
--- a/tests/rollout/gate_test.cpp
+++ b/tests/rollout/gate_test.cpp
@@ -1,4 +1,4 @@
-// The gate of a release: what fails it, what chance explains, and what it waits for.
+// Tests of the release gate: failures, insignificant differences, and undecided results.
 #include "rollout/gate.h"
 
 #include <gtest/gtest.h>
@@ -40,11 +40,12 @@
         {"no data", sum(10, 0), sum(5'000, 0), true, GateOutcome::failed, "without data"},
         {"nobody else", sum(500, 0), sum(0, 0), true, GateOutcome::failed, "nobody to compare"},
     };
-    for (const Case& one : cases) {
-        const GateResult result = evaluate_gate(one.changed, one.unchanged, thresholds, one.soak_complete);
-        EXPECT_EQ(result.outcome, one.outcome) << one.about << ": " << result.reason;
-        EXPECT_NE(result.reason.find(one.expected_in_reason), std::string::npos)
-            << one.about << ": " << result.reason;
+    for (const Case& test_case : cases) {
+        const GateResult result =
+            evaluate_gate(test_case.changed, test_case.unchanged, thresholds, test_case.soak_complete);
+        EXPECT_EQ(result.outcome, test_case.outcome) << test_case.about << ": " << result.reason;
+        EXPECT_NE(result.reason.find(test_case.expected_in_reason), std::string::npos)
+            << test_case.about << ": " << result.reason;
     }
 }
 
--- a/tests/rollout/lease_test.cpp
+++ b/tests/rollout/lease_test.cpp
@@ -1,5 +1,5 @@
-// Leases and the disruption budget: each rule, what holds over random histories and over all short ones, and
-// the encoded state.
+// Tests of leases and the disruption budget: each rule, invariants over random and exhaustive command
+// sequences, and the encoded state.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -11,7 +11,7 @@
 namespace sumackeel::rollout {
 namespace {
 
-// Two zones of four and three members, and a parent region of two for the first.
+// Two zones with four and three members, and a parent region with two members for the first zone.
 std::vector<FleetMember> fleet(const std::set<std::string>& out = {}) {
     std::vector<FleetMember> all;
     const auto add = [&](const char* name, const char* zone, const char* parent_region, double weight) {
@@ -50,7 +50,7 @@
 struct Case {
     const char* about;
     std::vector<std::string> out_by_lease;
-    std::set<std::string> out_by_itself;
+    std::set<std::string> unavailable;
     const char* member;
     DisruptionBudget budget;
     const char* rejection;  // part of the reason; empty: granted
@@ -90,14 +90,16 @@
         {"another parent region", {"p1"}, {}, "b1", {}, ""},
         {"an unknown member", {}, {}, "x9", {}, "no pop cache x9"},
     };
-    for (const Case& one : cases) {
+    for (const Case& test_case : cases) {
         State state;
-        for (const std::string& member : one.out_by_lease)
-            ASSERT_EQ(state.apply(request(member, kTwoPerZone)).outcome, Outcome::granted) << one.about;
-        const CommandResult result = state.apply(request(one.member, one.budget, one.out_by_itself));
-        EXPECT_EQ(result.outcome, *one.rejection ? Outcome::rejected : Outcome::granted)
-            << one.about << ": " << result.reason;
-        EXPECT_NE(result.reason.find(one.rejection), std::string::npos) << one.about << ": " << result.reason;
+        for (const std::string& member : test_case.out_by_lease)
+            ASSERT_EQ(state.apply(request(member, kTwoPerZone)).outcome, Outcome::granted) << test_case.about;
+        const CommandResult result =
+            state.apply(request(test_case.member, test_case.budget, test_case.unavailable));
+        EXPECT_EQ(result.outcome, *test_case.rejection ? Outcome::rejected : Outcome::granted)
+            << test_case.about << ": " << result.reason;
+        EXPECT_NE(result.reason.find(test_case.rejection), std::string::npos)
+            << test_case.about << ": " << result.reason;
     }
 }
 
@@ -167,10 +169,10 @@
             before = state.leases().size();
             rollout::apply(state, command);
             rollout::apply(copy, command);
-            if (step % 40 == 0) copy = State::decode(copy.encode());  // as by a snapshot
+            if (step % 40 == 0) copy = State::decode(copy.encode());  // as after a restore from a snapshot
             ASSERT_EQ(state, copy) << "seed " << seed;
             if (state.leases().size() <= before) continue;
-            // Only at a grant: members that are out by themselves may be more than the budget.
+            // Checked only after a grant: failed members alone may exceed the budget.
             std::set<std::string> out = dead;
             for (const auto& [key, lease] : state.leases()) out.insert(key.second);
             std::map<std::string, int> members_in_zone;
@@ -188,7 +190,8 @@
     }
 }
 
-// All orders of five events among the four members of a zone, one crash at most: two leases are never out.
+// All sequences of five events among the four members of a zone, with at most test_case crash: there are
+// never two leases at the same time.
 TEST(LeaseProperties, EachOrderOfRequestsReturnsAndACrashStaysWithinTheBudget) {
     int orders = 0;
     const std::function<void(State, std::set<std::string>, int)> explore =
@@ -216,7 +219,7 @@
             }
         };
     explore({}, {}, 5);
-    EXPECT_EQ(orders, 349);  // all there are: a rule that let more through would show
+    EXPECT_EQ(orders, 349);  // all reachable sequences: a rule that grants more leases would change the count
 }
 
 TEST(StateCodec, TruncatedAndFlippedBytesAreRejectedOrAnotherState) {
@@ -230,7 +233,7 @@
         std::string flipped = sound;
         flipped[at] = static_cast<char>(flipped[at] ^ 0x40);
         try {
-            State::decode(flipped);  // the log's own checksum finds it; here nothing may break
+            State::decode(flipped);  // the checksum of the log detects it; decoding must not crash
         } catch (const std::runtime_error&) {
         }
     }
--- a/tests/rollout/release_plan_test.cpp
+++ b/tests/rollout/release_plan_test.cpp
@@ -1,4 +1,4 @@
-// How release plans are read, and which faults in them are named.
+// Tests of the release plan parser and its errors.
 #include "rollout/release_plan.h"
 
 #include <gtest/gtest.h>
@@ -34,12 +34,12 @@
     const Case cases[] = {{"waves = [0]\n", "p:4:9: waves"},       {"waves = [\"x%\"]\n", "waves"},
                           {"members = [\"a\", \"a\"]\n", "twice"}, {"soak_s = -1\n", "soak_s"},
                           {"gates = 3\n", "no such key"},          {"what = \"cat\"\n", "what"}};
-    for (const Case& one : cases) {
+    for (const Case& test_case : cases) {
         try {
-            parse_plan(kHead + one.line, "p", all_members());
-            ADD_FAILURE() << one.line;
+            parse_plan(kHead + test_case.line, "p", all_members());
+            ADD_FAILURE() << test_case.line;
         } catch (const config::ConfigError& error) {
-            EXPECT_NE(std::string(error.what()).find(one.expected_in_error), std::string::npos)
+            EXPECT_NE(std::string(error.what()).find(test_case.expected_in_error), std::string::npos)
                 << error.what();
         }
     }
--- a/tests/rollout/release_test.cpp
+++ b/tests/rollout/release_test.cpp
@@ -1,4 +1,4 @@
-// The release state machine: commands, steps and their order.
+// Tests of the release state machine: commands, steps and their order.
 #include <gtest/gtest.h>
 
 #include "release_fixtures.h"
