--- a/src/recovery/fill_budget.cpp
+++ b/src/recovery/fill_budget.cpp
@@ -7,60 +7,63 @@
 
 namespace {
 
-constexpr double kBucketS = 0.5;    // of fills at the rate
-constexpr double kMinCapacity = 1;  // fills; a quota of less than one a second still admits one now and then
-// A large object takes a source's link for long, and so do the requests that wait behind it: at first only
-// usual sizes are admitted, then, a step at a time, four times larger ones.
+constexpr double kBucketDurationS = 0.5;  // bucket capacity, in seconds at the full rate
+constexpr double kMinCapacity =
+    1;  // fills; quotas below one fill per second still admit one from time to time
+// Transfers of large objects occupy a source's link for a long time and delay the requests queued behind
+// them. The size limit starts at common sizes and increases fourfold with each step.
 constexpr double kInitialMaxKb = 512, kSizeStepFactor = 4;
 constexpr Micros kSizeStepInterval = 5'000'000;
-constexpr int kSizeSteps = 4;              // after so many any size
-constexpr double kUsualKb = 256;           // up to this size a request costs one fill, above it more
+constexpr int kSizeSteps = 4;              // afterwards there is no size limit
+constexpr double kSizePerFillKb = 256;     // requests up to this size cost one fill, larger ones more
 constexpr double kMaxCost = 8;             // fills
-constexpr double kReservedFraction = 0.5;  // of the capacity is closed to the class of the lowest weight
-// The origin is not cold, it only has all requests at once; the regions' caches are cold, and bear little.
+constexpr double kReservedFraction = 0.5;  // part of the capacity that the lowest-weight class may not use
+// The origin is warm but receives all requests at once; the regions' caches are cold and tolerate little
+// load.
 constexpr double kInitialOriginFraction = 0.5, kInitialRegionFraction = 0.1;
 constexpr Micros kOriginRampDuration = 5'000'000, kRegionRampDuration = 20'000'000;
 constexpr double kFractionSmoothing = 0.05, kMinFillFraction = 0.02;
 constexpr Micros kPrimedDuration = 10'000'000;
-// All rejected clients have retried before a quiet period (kQuietPeriod of the phases) can end.
+// The maximum is below kQuietPeriod, so that all rejected clients retry before a quiet period can end.
 constexpr Micros kMinRetryAfter = 500'000, kMaxRetryAfter = 2'500'000;
 constexpr double kRoundingTolerance = 1e-9;
 
 }  // namespace
 
-// The buckets begin with a random part: a thousand proxies that begin together would admit a thousand
-// requests in the first moment otherwise.
+// The buckets start with a random number of tokens. Otherwise a thousand proxies that start at the same time
+// would admit a thousand requests at once.
 FillBudget::FillBudget(double origin_per_s, double regions_per_s, std::vector<double> priority_weights,
                        std::uint64_t seed)
-    : meters_{Meter{.per_s = origin_per_s,
-                    .initial_fraction = kInitialOriginFraction,
-                    .ramp_duration = kOriginRampDuration},
-              Meter{.per_s = regions_per_s,
-                    .initial_fraction = kInitialRegionFraction,
-                    .ramp_duration = kRegionRampDuration}},
+    : buckets_{TokenBucket{.rate_per_s = origin_per_s,
+                           .initial_fraction = kInitialOriginFraction,
+                           .ramp_duration = kOriginRampDuration},
+               TokenBucket{.rate_per_s = regions_per_s,
+                           .initial_fraction = kInitialRegionFraction,
+                           .ramp_duration = kRegionRampDuration}},
       priority_weights_(std::move(priority_weights)),
       rng_(seed) {
     std::sort(priority_weights_.begin(), priority_weights_.end());
-    for (Meter& meter : meters_) meter.tokens = std::uniform_real_distribution<>(0, kMinCapacity)(rng_);
+    for (TokenBucket& bucket : buckets_)
+        bucket.tokens = std::uniform_real_distribution<>(0, kMinCapacity)(rng_);
 }
 
-void FillBudget::Meter::refill(Micros elapsed, double quota, Micros primed_for) {
+void FillBudget::TokenBucket::refill(Micros elapsed, double quota, Micros primed_for) {
     const double ramped = std::min(1.0, static_cast<double>(primed_for) / static_cast<double>(ramp_duration));
-    const double rate = per_s * quota * (initial_fraction + (1 - initial_fraction) * ramped);
-    capacity = std::max(kMinCapacity, rate * kBucketS);
+    const double rate = rate_per_s * quota * (initial_fraction + (1 - initial_fraction) * ramped);
+    capacity = std::max(kMinCapacity, rate * kBucketDurationS);
     tokens = std::min(capacity, tokens + rate * static_cast<double>(elapsed) / 1e6);
 }
 
-// A request that costs more than the capacity is admitted by a full bucket, and leaves a debt.
-bool FillBudget::Meter::can_pay(double cost, double reserved) const {
-    const double closed = reserved * (capacity - kMinCapacity);
-    return tokens - closed >= std::min(cost, capacity - closed) - kRoundingTolerance;
+// A request that costs more than the capacity is admitted if the bucket is full, and makes it negative.
+bool FillBudget::TokenBucket::can_afford(double cost, double reserved) const {
+    const double reserved_tokens = reserved * (capacity - kMinCapacity);
+    return tokens - reserved_tokens >= std::min(cost, capacity - reserved_tokens) - kRoundingTolerance;
 }
 
 void FillBudget::refill(Micros now, double proxies, Micros primed_for) {
     const Micros elapsed = last_refill_at_ < 0 ? 0 : now - last_refill_at_;
     last_refill_at_ = now;
-    for (Meter& meter : meters_) meter.refill(elapsed, 1 / std::max(1.0, proxies), primed_for);
+    for (TokenBucket& bucket : buckets_) bucket.refill(elapsed, 1 / std::max(1.0, proxies), primed_for);
 }
 
 bool FillBudget::is_primed(Micros now, std::uint64_t key) {
@@ -74,7 +77,7 @@
     return primed_.contains(key);
 }
 
-void FillBudget::renew(Micros now, std::uint64_t key) {
+void FillBudget::extend_primed(Micros now, std::uint64_t key) {
     PrimedKey& primed = primed_[key];
     if (now - primed.at < kPrimedDuration / 4) return;
     primed.at = now;
@@ -83,7 +86,7 @@
 
 bool FillBudget::is_too_large(const RequestCost& cost, Micros primed_for) const {
     const auto step = primed_for / kSizeStepInterval;
-    return !cost.any_size && step < kSizeSteps &&
+    return !cost.ignore_size_limit && step < kSizeSteps &&
            cost.size_kb > kInitialMaxKb * std::pow(kSizeStepFactor, static_cast<double>(step));
 }
 
@@ -113,9 +116,9 @@
     }
     if (primed_for < 0) return reject(time_left);
     refill(now, proxies, primed_for);
-    // An object is charged once: later requests join its fill, or find the copy.
+    // Each object is charged once: later requests join its fill or hit the cached copy.
     if (is_primed(now, cost.key)) {
-        renew(now, cost.key);
+        extend_primed(now, cost.key);
         ++admitted_;
         return std::nullopt;
     }
@@ -123,14 +126,14 @@
         ++too_large_;
         return reject(time_left);
     }
-    const double fills = std::clamp(cost.size_kb / kUsualKb, 1.0, kMaxCost);
+    const double fills = std::clamp(cost.size_kb / kSizePerFillKb, 1.0, kMaxCost);
     const double reserved = reserved_fraction(cost.priority_weight);
-    for (const Meter& meter : meters_)
-        if (!meter.can_pay(fills * meter.fill_fraction, reserved)) return reject(time_left);
+    for (const TokenBucket& bucket : buckets_)
+        if (!bucket.can_afford(fills * bucket.fill_fraction, reserved)) return reject(time_left);
     PrimedKey primed{now, fills, {}};
-    for (std::size_t i = 0; i < meters_.size(); ++i) {
-        primed.charged[i] = fills * meters_[i].fill_fraction;
-        meters_[i].tokens -= primed.charged[i];
+    for (std::size_t i = 0; i < buckets_.size(); ++i) {
+        primed.charged[i] = fills * buckets_[i].fill_fraction;
+        buckets_[i].tokens -= primed.charged[i];
     }
     primed_[cost.key] = primed;
     primed_order_.push_back({now, cost.key});
@@ -143,11 +146,11 @@
     if (found == primed_.end() || found->second.cost == 0) return;
     PrimedKey& primed = found->second;
     const std::array<bool, 2> filled{source == FillSource::origin, source != FillSource::none};
-    for (std::size_t i = 0; i < meters_.size(); ++i) {
-        Meter& meter = meters_[i];
-        meter.tokens += primed.charged[i] - (filled[i] ? primed.cost : 0);
-        const double change = kFractionSmoothing * ((filled[i] ? 1 : 0) - meter.fill_fraction);
-        meter.fill_fraction = std::max(kMinFillFraction, meter.fill_fraction + change);
+    for (std::size_t i = 0; i < buckets_.size(); ++i) {
+        TokenBucket& bucket = buckets_[i];
+        bucket.tokens += primed.charged[i] - (filled[i] ? primed.cost : 0);
+        const double change = kFractionSmoothing * ((filled[i] ? 1 : 0) - bucket.fill_fraction);
+        bucket.fill_fraction = std::max(kMinFillFraction, bucket.fill_fraction + change);
     }
     primed.cost = 0;
 }
--- a/src/recovery/persisted_state.cpp
+++ b/src/recovery/persisted_state.cpp
@@ -21,15 +21,15 @@
            std::all_of(name.begin(), name.end(), [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
-// Removes the next line from the text, which ends with one.
-std::string_view take_line(std::string_view& text) {
+// Removes and returns the first line of the text, which must end with a line feed.
+std::string_view pop_line(std::string_view& text) {
     const auto end = text.find('\n');
     const std::string_view line = text.substr(0, end);
     text.remove_prefix(end + 1);
     return line;
 }
 
-// The text without its last line, the checksum.
+// Returns the text without its last line, which holds the checksum. Throws StateError on a mismatch.
 std::string_view verify_checksum(std::string_view text) {
     const std::size_t last_line = text.substr(0, text.size() - 1).rfind('\n') + 1;
     const std::string_view checksum = text.substr(last_line, text.size() - last_line - 1);
@@ -47,7 +47,7 @@
     return nullptr;
 }
 
-// False: the line is malformed.
+// Returns false if the line is malformed.
 bool decode_line(std::string_view line, PersistedState& state) {
     const auto space = line.find(' ');
     const std::string_view keyword = line.substr(0, space);
@@ -81,13 +81,13 @@
     if (!text.starts_with(kHeader))
         throw StateError(StateErrorCode::unknown_format, "not a file of this kind");
     std::string_view rest = verify_checksum(text);
-    const std::string_view version = take_line(rest).substr(kHeader.size());
+    const std::string_view version = pop_line(rest).substr(kHeader.size());
     if (version != std::to_string(kStateVersion))
         throw StateError(StateErrorCode::unsupported_version,
                          fmt::format("version {}, this program reads {}", version, kStateVersion));
     PersistedState state;
     while (!rest.empty()) {
-        const std::string_view line = take_line(rest);
+        const std::string_view line = pop_line(rest);
         if (!decode_line(line, state))
             throw StateError(StateErrorCode::malformed_line,
                              fmt::format("a line that can't be read: {}", line));
--- a/src/recovery/persisted_state.h
+++ b/src/recovery/persisted_state.h
@@ -1,5 +1,5 @@
-// What a proxy keeps on disk for its recovery, as text with a version and a checksum (docs/design/recovery.md
-// has it line by line). Pure.
+// The state that a proxy persists on disk for its recovery: text with a version and a checksum. The format is
+// described in docs/design/recovery.md. Pure.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,17 @@
 
 namespace sumackeel::recovery {
 
-constexpr std::size_t kMaxNames = 4'096;  // of members, of bans, and of leases
+constexpr std::size_t kMaxNames = 4'096;  // limit for members, for bans and for leases each
 constexpr std::size_t kMaxNameLength = 253;
 constexpr std::size_t kMaxStateBytes = 3 * kMaxNames * (kMaxNameLength + 8) + 4'096;
 constexpr int kStateVersion = 1;
 
 struct PersistedState {
-    Phase phase = Phase::reading;   // when it was written
-    std::set<std::string> members;  // that were there, this one included
+    Phase phase = Phase::reading;   // at the time of writing
+    std::set<std::string> members;  // of the cluster, including this proxy
     bool draining = false;
-    std::set<std::string> bans;    // this proxy's own
-    std::set<std::string> leased;  // pop caches out by lease, as the replicated log last had it
+    std::set<std::string> bans;    // set at this proxy
+    std::set<std::string> leased;  // pop caches with a drain lease, as last seen in the replicated log
     bool operator==(const PersistedState&) const = default;
 };
 
@@ -35,7 +35,7 @@
     malformed_line,
 };
 
-// The text is for operators; the code is for callers.
+// The text is shown to operators; callers use the code.
 class StateError : public std::runtime_error {
   public:
     StateError(StateErrorCode code, const std::string& text) : std::runtime_error(text), code_(code) {}
@@ -48,7 +48,7 @@
 std::string encode(const PersistedState& state);
 // Throws StateError.
 PersistedState decode_persisted_state(std::string_view text);
-// The same without an exception: empty on success, else the error's text, with `state` as it was.
+// Non-throwing variant: returns empty on success, otherwise the error text, with `state` unchanged.
 std::string decode(std::string_view text, PersistedState& state);
 
 }  // namespace sumackeel::recovery
--- a/src/recovery/recovery_phases.cpp
+++ b/src/recovery/recovery_phases.cpp
@@ -68,7 +68,7 @@
 void RecoveryPhases::tick(Micros now) {
     const Micros gap = now - last_tick_at_;
     last_tick_at_ = now;
-    if (gap > options_.pause && phase_ == Phase::serving) {
+    if (gap > options_.pause_threshold && phase_ == Phase::serving) {
         ++pauses_;
         endpoints_confirmed_ = false;
         purges_confirmed_ = false;
@@ -93,7 +93,7 @@
     if (phase >= Phase::priming) was_paused_ = false;
 }
 
-// At most one transition an event.
+// At most one transition per event.
 void RecoveryPhases::advance(Micros now) {
     switch (phase_) {
         case Phase::reading:
@@ -115,7 +115,7 @@
 
 void RecoveryPhases::advance_from_querying(Micros now) {
     if (found_serving_fleet_) return enter(Phase::serving, now, "the fleet lives");
-    // All others that were there are recovering, too: no member is left that could serve.
+    // All other previous members are recovering too, so no member can be serving.
     if (recovering_members_.size() + 1 >= members_before_ && members_before_ > 1)
         return enter(Phase::settling, now, "all are on the ladder");
     if (is_late(now)) enter(Phase::settling, now, "nobody serves");
@@ -141,11 +141,11 @@
         case Phase::reading:
             return since_ + kReadTimeout;
         case Phase::querying:
-            return since_ + options_.query;
+            return since_ + options_.query_timeout;
         case Phase::settling:
-            return since_ + options_.settle;
+            return since_ + options_.settle_timeout;
         case Phase::priming:
-            return since_ + options_.prime;
+            return since_ + options_.prime_timeout;
         case Phase::serving:
             break;
     }
@@ -161,7 +161,7 @@
         case Phase::settling: {
             std::string missing;
             if (!endpoints_confirmed_) missing = "the list of pop caches";
-            if (options_.elects && !leader_known_)
+            if (options_.wait_for_leader && !leader_known_)
                 missing += std::string(missing.empty() ? "" : ", ") + "a leader of the agreed log";
             return missing;
         }
@@ -173,8 +173,8 @@
     return {};
 }
 
-// After a pause of this process alone, the others count as absent as well: the cluster serves only with most
-// of its members.
+// The majority condition also covers a pause of this process alone: while it does not reach the others, it
+// must not report that the cluster serves.
 bool RecoveryPhases::serving_fleet(std::size_t members_back) const {
     return phase_ == Phase::serving && 2 * members_back > members_before_;
 }
--- a/src/recovery_coordinator/member_poller.h
+++ b/src/recovery_coordinator/member_poller.h
@@ -1,4 +1,4 @@
-// Polls the other members for their recovery replies: some at a time, round robin.
+// Polls the other members for their recovery state, a few per round in round-robin order.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,10 @@
   public:
     using ReplyCallback = std::function<void(const std::string& from, RecoveryReply reply)>;
 
-    // `transport` outlives this. `on_reply` is called from the loop.
+    // `transport` must outlive this object. `on_reply` is called on the event loop.
     MemberPoller(ClusterTransport& transport, ReplyCallback on_reply);
 
-    // At most one round in the interval; may be called more often. `now`: of a steady clock.
+    // Starts at most one round per poll interval; may be called more often. `now`: steady clock.
     void poll(base::Micros now);
     std::uint64_t polls() const { return polls_; }
     std::uint64_t replies() const { return replies_; }
--- a/src/recovery_coordinator/recovery_coordinator.cpp
+++ b/src/recovery_coordinator/recovery_coordinator.cpp
@@ -17,11 +17,11 @@
 namespace {
 
 constexpr Micros kTickInterval = 50'000, kServingTickInterval = 500'000;
-constexpr Micros kMembersInterval = 10'000'000;     // between two writes of the members' names
-constexpr Micros kMinServingDuration = 30'000'000;  // of the cluster, before its members are persisted
+constexpr Micros kMembersInterval = 10'000'000;     // minimum interval between writes of the member names
+constexpr Micros kMinServingDuration = 30'000'000;  // in `serving`, before the members are persisted
 constexpr Micros kMinCopyAge = 1'000;
 constexpr std::size_t kMaxOperatorCommands = 32;
-constexpr std::uint64_t kBudgetSeedMask = 0x7c15f39cc0605ceeULL;  // apart from the seeds of other modules
+constexpr std::uint64_t kBudgetSeedMask = 0x7c15f39cc0605ceeULL;  // differs from other modules' masks
 
 Micros steady_now() {
     return static_cast<Micros>(uv_hrtime() / 1000);
@@ -30,7 +30,7 @@
 }  // namespace
 
 RecoveryCoordinator::RecoveryCoordinator(net::Loop& loop, ClusterTransport& transport,
-                                         const config::Recovery& setup, bool elects,
+                                         const config::Recovery& setup, bool wait_for_leader,
                                          std::vector<double> priority_weights, Micros purge_completes_within,
                                          std::uint64_t seed, Hooks hooks)
     : loop_(loop),
@@ -41,11 +41,11 @@
       directory_(std::make_shared<StateDirectory>(setup.folder)),
       writer_(loop, "recovery",
               [directory = directory_](const std::string& encoded) { return directory->write(encoded); }),
-      phases_({.query = setup.ask,
-               .settle = setup.settle,
-               .prime = setup.prime,
-               .pause = setup.pause,
-               .elects = elects},
+      phases_({.query_timeout = setup.ask,
+               .settle_timeout = setup.settle,
+               .prime_timeout = setup.prime,
+               .pause_threshold = setup.pause,
+               .wait_for_leader = wait_for_leader},
               steady_now()),
       budget_(setup.fills_per_s, setup.region_fills_per_s, std::move(priority_weights),
               seed ^ kBudgetSeedMask),
@@ -74,7 +74,7 @@
                                          [directory = directory_] { return directory->load(); });
     if (!loaded) loaded = LoadedState{{}, {directory_->path() + ": the folder does not answer"}};
     for (const std::string& file : loaded->rejected_files)
-        log::error("recovery: state rejected reason={}; the latest bans and drains may be missing", file);
+        log::error("recovery: state rejected reason={}; recent bans and drains may be missing", file);
     persisted_ = std::move(loaded->state);
     rejected_files_ = std::move(loaded->rejected_files);
 }
@@ -85,17 +85,17 @@
 
 void RecoveryCoordinator::persist(const std::set<std::string>& bans, const std::set<std::string>& leased,
                                   bool draining) {
-    const bool same =
+    const bool unchanged =
         bans == persisted_.bans && leased == persisted_.leased && draining == persisted_.draining;
-    if (same) return;
+    if (unchanged) return;
     persisted_.bans = bans;
     persisted_.leased = leased;
     persisted_.draining = draining;
     write();
 }
 
-// Only a cluster that has served for a while shows who belongs to it: during a second loss of power those
-// from before the first still count.
+// The member list is updated only after the cluster has served for a while, so that a second power loss
+// during recovery still counts the members from before the first one.
 void RecoveryCoordinator::persist_members(Micros now) {
     if (phases_.phase() != Phase::serving || now - phases_.since() < kMinServingDuration ||
         now - members_persisted_at_ < kMembersInterval)
@@ -116,7 +116,7 @@
     if (phases_.phase() == before) return;
     log::info("recovery: phase changed from={} to={} reason={}", name_of(before), name_of(phases_.phase()),
               phases_.reason());
-    if (before == Phase::serving) unconfirmed_since_ = steady_now();  // it was paused
+    if (before == Phase::serving) unconfirmed_since_ = steady_now();  // this process was paused
     persisted_.phase = phases_.phase();
     write();
     hooks_.entered(before);
@@ -161,7 +161,7 @@
 // --- Other members ---
 
 void RecoveryCoordinator::on_reply(const std::string& from, const RecoveryReply& reply) {
-    hooks_.learn(reply.purges);  // before all purges count as known
+    hooks_.learn(reply.purges);  // must come before the report that may set purges_confirmed
     learn_leases(reply.leased);
     const Phase before = phases_.phase();
     phases_.on_report(steady_now(), {from, reply.phase, reply.serving_fleet, reply.purges_confirmed});
@@ -192,8 +192,8 @@
 
 // --- Admission ---
 
-// Members that were there before and are not back count in full at first, then less and less: by then they
-// return to a cluster that is warm.
+// Previous members that are still missing count in full during the first quarter of priming and decrease to
+// zero at half of it: members that return later find warm caches.
 double RecoveryCoordinator::budget_proxies(Micros primed_for) const {
     const double back = static_cast<double>(std::max(phases_.members_back(), hooks_.proxies()));
     const double missing = std::max(0.0, static_cast<double>(phases_.members_before()) - back);
@@ -205,20 +205,20 @@
 std::optional<Micros> RecoveryCoordinator::admit(const recovery::RequestCost& cost) {
     if (phases_.phase() == Phase::serving) return std::nullopt;
     const Micros now = steady_now();
-    // A process that was only paused starts with the first part of the budget while it is not serving again.
+    // A process that was only paused uses the initial rate of the budget until it serves again.
     const bool only_paused = !is_priming() && phases_.ready();
     const Micros primed_for = is_priming() ? now - phases_.since() : only_paused ? 0 : -1;
     recovery::RequestCost charged = cost;
-    charged.any_size = only_paused;
+    charged.ignore_size_limit = only_paused;
     const auto retry_after =
         budget_.admit(now, charged, budget_proxies(primed_for), primed_for, phases_.deadline() - now);
     if (retry_after) phases_.on_rejected(now);
     return retry_after;
 }
 
-// A serving member reports purges by their ages. Service discovery dates them by its clock, which after a
-// loss of power may be an hour off: until caches have dropped what was purged before, those alone don't
-// suffice.
+// A serving member reports purges by age. Service discovery dates them by its own clock, which may be an hour
+// off after a power loss, so its purges alone are not sufficient until caches have dropped older copies
+// (purge_completes_within_).
 Micros RecoveryCoordinator::max_copy_age() const {
     const Micros unconfirmed_for = steady_now() - unconfirmed_since_;
     const bool all_purges_known = phases_.purges_confirmed() && (phases_.found_serving_fleet() ||
--- a/src/recovery_coordinator/recovery_coordinator.h
+++ b/src/recovery_coordinator/recovery_coordinator.h
@@ -1,6 +1,6 @@
-// Runs the recovery of this proxy: polls other members and answers them, persists what is trusted after a
-// restart, and admits requests as the phases and the budget of src/recovery say. Off unless the operator's
-// file has [recovery].
+// Runs the recovery of this proxy: polls other members and replies to their polls, persists the state that is
+// trusted after a restart, and admits requests according to the phases and the fill budget of src/recovery.
+// Enabled by [recovery] in the operator's file.
 #pragma once
 
 #include <functional>
@@ -27,29 +27,30 @@
   public:
     using RecentPurge = recovery_coordinator::RecentPurge;
     struct Hooks {
-        std::function<std::vector<RecentPurge>()> purges;            // for the replies to others
-        std::function<void(const std::vector<RecentPurge>&)> learn;  // from the replies of others
-        std::function<std::set<std::string>()> leased;  // pop caches out by lease, for the replies to others
-        std::function<void()> leases_learned;           // learned_leases() has grown
-        std::function<bool()> sure;                     // the endpoint list was confirmed just now
-        std::function<std::size_t()> proxies;           // as many as the cluster counts
-        std::function<void(recovery::Phase from)> entered;  // another phase
+        std::function<std::vector<RecentPurge>()> purges;            // sent in replies
+        std::function<void(const std::vector<RecentPurge>&)> learn;  // received in replies
+        std::function<std::set<std::string>()> leased;      // pop caches with a drain lease, sent in replies
+        std::function<void()> leases_learned;               // learned_leases() has new entries
+        std::function<bool()> sure;                         // the endpoint list was confirmed recently
+        std::function<std::size_t()> proxies;               // the number of proxies in the cluster
+        std::function<void(recovery::Phase from)> entered;  // called after a phase change
     };
 
-    // Reads the folder; one that does not answer counts as empty. `elects`: there is a replicated log.
-    // `purge_completes_within`: after this no cache has an older copy. `transport` outlives this.
+    // Reads the state directory; a directory that does not respond counts as empty. `wait_for_leader`: there
+    // is a replicated log. `purge_completes_within`: the time after which no cache holds a copy from before a
+    // purge. `transport` must outlive this object.
     RecoveryCoordinator(net::Loop& loop, ClusterTransport& transport, const config::Recovery& setup,
-                        bool elects, std::vector<double> priority_weights,
+                        bool wait_for_leader, std::vector<double> priority_weights,
                         base::Micros purge_completes_within, std::uint64_t seed, Hooks hooks);
     ~RecoveryCoordinator();
     RecoveryCoordinator(const RecoveryCoordinator&) = delete;
     RecoveryCoordinator& operator=(const RecoveryCoordinator&) = delete;
 
     const recovery::PersistedState& persisted() const { return persisted_; }
-    // Written in the background; a write that fails is logged and retried until it succeeds.
+    // Writes in the background; a failed write is logged and retried until it succeeds.
     void persist(const std::set<std::string>& bans, const std::set<std::string>& leased, bool draining);
-    // Pop caches out by lease, as others replied that know of them; for as long as the replicated log is not
-    // known here. Those that this one learned go to nobody else.
+    // Pop caches with a drain lease according to other members' replies, used until the replicated log is
+    // available here. They are not passed on in this proxy's own replies.
     const std::set<std::string>& learned_leases() const { return learned_leases_; }
     void forget_learned_leases() { learned_leases_.clear(); }
     net::LatestValueWriter& writer() { return writer_; }
@@ -57,15 +58,15 @@
     const recovery::RecoveryPhases& phases() const { return phases_; }
     void on_endpoints_confirmed();
     void on_leader_known(bool known);
-    // By an operator's command.
+    // Operator command.
     void advance_to(recovery::Phase phase, const std::string& by);
 
-    // None: admitted. Else when the client may retry.
+    // Returns nullopt if the request is admitted, otherwise the time after which the client may retry.
     std::optional<base::Micros> admit(const recovery::RequestCost& cost);
     void on_request_finished(std::uint64_t key, recovery::FillSource source) {
         budget_.on_request_finished(key, source);
     }
-    // The greatest age of a copy that may be served; 0: any.
+    // The maximum age of a copy that may be served; 0: unlimited.
     base::Micros max_copy_age() const;
     std::string as_json() const;
 
@@ -86,17 +87,17 @@
     const config::Recovery setup_;
     const base::Micros purge_completes_within_;
     Hooks hooks_;
-    std::shared_ptr<StateDirectory> directory_;  // shared with the writer's thread
+    std::shared_ptr<StateDirectory> directory_;  // shared with the writer thread
     net::LatestValueWriter writer_;
     recovery::PersistedState persisted_;
     std::set<std::string> learned_leases_;
     recovery::RecoveryPhases phases_;
     recovery::FillBudget budget_;
     MemberPoller poller_;
-    base::Micros unconfirmed_since_ = 0;  // purges may have been missed since
+    base::Micros unconfirmed_since_ = 0;  // purges may have been missed since then
     base::Micros members_persisted_at_ = 0;
     std::vector<std::string> rejected_files_;
-    std::vector<std::string> operator_commands_;  // the newest last
+    std::vector<std::string> operator_commands_;  // oldest first
     std::optional<base::TimerQueue::Key> tick_timer_;
 };
 
--- a/src/recovery_coordinator/recovery_messages.cpp
+++ b/src/recovery_coordinator/recovery_messages.cpp
@@ -50,7 +50,7 @@
         purge.age = std::max<Micros>(0, item.next<Micros>()) * kMicrosPerMs;
         reply.purges.push_back(std::move(purge));
     }
-    if (reader.remaining() == 0) return reply;  // of a sender that does not know of leases
+    if (reader.remaining() == 0) return reply;  // sent by a version without leases
     for (base::MsgpackReader list = reader.list(recovery::kMaxNames); list.remaining() > 0;)
         reply.leased.insert(list.text(recovery::kMaxNameLength));
     return reply;
--- a/src/recovery_coordinator/recovery_messages.h
+++ b/src/recovery_coordinator/recovery_messages.h
@@ -1,4 +1,4 @@
-// The reply of a member to the verb `recovery`, version 1 (docs/design/recovery.md): MessagePack.
+// The MessagePack reply of a member to the call `recovery`, version 1 (docs/design/recovery.md).
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 constexpr const char* kRecoveryVerb = "recovery";
 constexpr std::size_t kMaxPurges = 20'000;  // in one reply
 
-// A purge, by its age: members' clocks may differ after a loss of power.
+// A purge with its age instead of a time, because members' clocks may differ after a power loss.
 struct RecentPurge {
     std::string object;
     int group = 0;
@@ -25,14 +25,14 @@
 struct RecoveryReply {
     recovery::Phase phase = recovery::Phase::reading;
     bool serving_fleet = false;     // see RecoveryPhases::serving_fleet()
-    bool purges_confirmed = false;  // `purges` are all there are
+    bool purges_confirmed = false;  // `purges` is complete
     std::uint64_t members_back = 0, members_before = 0;
-    std::vector<RecentPurge> purges;  // ages go over the wire in milliseconds
-    std::set<std::string> leased;     // pop caches out by lease, as far as the sender knows
+    std::vector<RecentPurge> purges;  // ages are encoded in milliseconds
+    std::set<std::string> leased;     // pop caches with a drain lease, as known to the sender
 };
 
 std::string encode(const RecoveryReply& reply);
-// None: of another version. Throws std::runtime_error on malformed bytes.
+// Returns nullopt for another version. Throws std::runtime_error on malformed bytes.
 std::optional<RecoveryReply> decode_recovery_reply(const std::string& body);
 
 }  // namespace sumackeel::recovery_coordinator
--- a/src/recovery_coordinator/recovery_status.cpp
+++ b/src/recovery_coordinator/recovery_status.cpp
@@ -1,4 +1,4 @@
-// The status of the recovery as JSON, for the admin API.
+// Recovery status as JSON for the admin API.
 #include <json/json.h>
 
 #include "base/json_line.h"
--- a/src/recovery_coordinator/state_directory.cpp
+++ b/src/recovery_coordinator/state_directory.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr const char* kLockFile = "kept.lock";  // the endpoint snapshot, in the same folder, has its own
+constexpr const char* kLockFile = "kept.lock";  // the endpoint snapshot has its own lock in this folder
 
 }  // namespace
 
@@ -39,9 +39,9 @@
     return error;
 }
 
-// Another process of this proxy writes until it ends; so the lock is tried anew at each write.
+// A previous process of this proxy holds the lock until it exits, so each write retries to acquire it.
 std::string StateDirectory::write(const std::string& encoded) {
-    // Before load() has seen all generations a new one might be numbered below them.
+    // Until load() has seen all generations, a new one could get a lower number than an existing one.
     const std::unique_lock guard(mutex_, std::try_to_lock);
     if (!guard) return "what was kept before is still being read";
     if (!lock_ || !lock_->error().empty()) lock_ = std::make_unique<base::DirectoryLock>(path_, kLockFile);
--- a/src/recovery_coordinator/state_directory.h
+++ b/src/recovery_coordinator/state_directory.h
@@ -1,4 +1,4 @@
-// The persisted state on disk: generations of files in one directory (docs/design/recovery.md).
+// Stores the persisted state as generations of files in one directory (docs/design/recovery.md).
 #pragma once
 
 #include <atomic>
@@ -14,27 +14,27 @@
 
 namespace sumackeel::recovery_coordinator {
 
-// What a start has read.
+// The result of loading at startup.
 struct LoadedState {
     recovery::PersistedState state;
     std::vector<std::string> rejected_files;  // each with the reason
 };
 
-// All calls but last_good_file() block on the disk; one thread at a time does them: the one that loads at the
-// start, then the writer's.
+// All functions except last_good_file() block on disk I/O. They are called by one thread at a time: first by
+// the thread that loads at startup, then by the writer thread.
 class StateDirectory {
   public:
     explicit StateDirectory(const std::string& path) : path_(path), files_(path, "kept-", ".sumkept") {}
 
-    // The newest generation that is sound; damaged ones before it are moved aside and listed.
+    // Loads the newest valid generation; newer damaged ones are quarantined and listed.
     LoadedState load();
-    // Writes the next generation. Empty on success, else the error.
+    // Writes the next generation. Returns empty on success, otherwise the error.
     std::string write(const std::string& encoded);
     const std::string& path() const { return path_; }
     std::string last_good_file() const;  // empty: none
 
   private:
-    // Empty on success, else the error.
+    // Returns empty on success, otherwise the error.
     std::string load_generation(std::uint64_t generation, recovery::PersistedState& state);
 
     const std::string path_;
--- a/tests/recovery/fill_budget_test.cpp
+++ b/tests/recovery/fill_budget_test.cpp
@@ -1,4 +1,4 @@
-// The budget of fills: one proxy, and the sum over many.
+// Tests of the fill budget: a single proxy, and the sum over many proxies.
 #include "recovery/fill_budget.h"
 
 #include <gtest/gtest.h>
@@ -11,52 +11,54 @@
 
 using base::kSecond;
 
-// The sum over all proxies, a late majority among them, in any second.
+// Checks the sum over all proxies, which start priming at different times, in every one-second window.
 TEST(FillBudgetTest, HoldsOverAllProxiesOver200Seeds) {
-    constexpr double kAll = 200;
+    constexpr double kFillsPerSecond = 200;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         std::mt19937_64 rng(seed);
         const std::size_t proxies = 3 + rng() % 40;
         std::vector<FillBudget> budgets;
-        std::vector<Micros> begins;
+        std::vector<Micros> start_times;
         for (std::size_t i = 0; i < proxies; ++i) {
-            budgets.emplace_back(kAll, 1e9, std::vector<double>{1, 2}, seed * 100 + i);
-            begins.push_back(static_cast<Micros>(rng() % 5'000) * 1'000);
+            budgets.emplace_back(kFillsPerSecond, 1e9, std::vector<double>{1, 2}, seed * 100 + i);
+            start_times.push_back(static_cast<Micros>(rng() % 5'000) * 1'000);
         }
         std::vector<Micros> fills;
         for (Micros now = 0; now < 8 * kSecond; now += 20'000)
             for (std::size_t i = 0; i < proxies; ++i) {
-                if (now < begins[i]) continue;
-                const RequestCost one{
+                if (now < start_times[i]) continue;
+                const RequestCost cost{
                     .key = rng(), .priority_weight = 1.0 + static_cast<double>(rng() % 2), .size_kb = 40};
-                if (!budgets[i].admit(now, one, static_cast<double>(proxies), now - begins[i], kSecond))
+                if (!budgets[i].admit(now, cost, static_cast<double>(proxies), now - start_times[i], kSecond))
                     fills.push_back(now);
                 EXPECT_FALSE(budgets[i].admit(now, {.needs_copy = false}, 1, -1, kSecond)) << "enrol";
             }
-        std::size_t first = 0, max_in_a_second = 0;
+        std::size_t first = 0, max_per_second = 0;
         for (std::size_t last = 0; last < fills.size(); ++last) {
             while (fills[last] - fills[first] > kSecond) ++first;
-            max_in_a_second = std::max(max_in_a_second, last - first + 1);
+            max_per_second = std::max(max_per_second, last - first + 1);
         }
-        // The budget of one second, and one bucket of each proxy.
-        EXPECT_LE(max_in_a_second, kAll + static_cast<double>(proxies) *
-                                              std::max(1.0, kAll / static_cast<double>(proxies) / 2));
-        EXPECT_GT(max_in_a_second, kAll / 8);
+        // The budget of one second plus one bucket per proxy.
+        EXPECT_LE(max_per_second,
+                  kFillsPerSecond + static_cast<double>(proxies) *
+                                        std::max(1.0, kFillsPerSecond / static_cast<double>(proxies) / 2));
+        EXPECT_GT(max_per_second, kFillsPerSecond / 8);
     }
 }
 
-// Large objects, as streams are, take a source's link for long: four times larger ones each five seconds.
+// Transfers of large objects such as streams occupy a source's link: the size limit increases fourfold every
+// five seconds.
 TEST(FillBudgetTest, AdmitsLargeObjectsStepByStep) {
     FillBudget budget(1e6, 1e6, {1}, 1);
     auto admits = [&, key = std::uint64_t{0}](Micros primed_for, double kb,
-                                              bool any = false) mutable -> bool {
-        const RequestCost one{.key = ++key, .size_kb = kb, .any_size = any};
-        return !budget.admit(primed_for, one, 1, primed_for, kSecond);
+                                              bool ignore_size_limit = false) mutable -> bool {
+        const RequestCost cost{.key = ++key, .size_kb = kb, .ignore_size_limit = ignore_size_limit};
+        return !budget.admit(primed_for, cost, 1, primed_for, kSecond);
     };
     EXPECT_FALSE(admits(kSecond, 2'000));
     EXPECT_TRUE(admits(2 * kSecond, 512));
-    EXPECT_TRUE(admits(3 * kSecond, 2'000, true)) << "the process was only paused";
+    EXPECT_TRUE(admits(3 * kSecond, 2'000, true)) << "no size limit after a pause";
     EXPECT_TRUE(admits(5 * kSecond, 2'000));
     EXPECT_FALSE(admits(6 * kSecond, 8'000));
     EXPECT_TRUE(admits(12 * kSecond, 8'000));
@@ -86,9 +88,10 @@
     EXPECT_FALSE(fresh.admit(full, {.key = 9, .size_kb = 40}, 1, full, kSecond));
     for (int i = 1; i < 100; ++i)
         EXPECT_FALSE(fresh.admit(full + i * 1'000, {.key = 9, .size_kb = 40}, 1, full, kSecond))
-            << "it joins the fill";
+            << "joins the fill";
     EXPECT_TRUE(fresh.admit(full + 101'000, {.key = 10, .size_kb = 40}, 1, full, kSecond));
-    // Requests that took no fill make later ones cheap: in front of warm caches nearly all are admitted.
+    // Requests without a fill reduce the charge of later ones: in front of warm caches nearly all are
+    // admitted.
     int admitted = 0;
     for (std::uint64_t i = 0; i < 4'000; ++i) {
         const Micros now = full + kSecond + static_cast<Micros>(i) * 20'000;
--- a/tests/recovery/persisted_state_test.cpp
+++ b/tests/recovery/persisted_state_test.cpp
@@ -1,4 +1,4 @@
-// The persisted state: damaged text, and a writer that is killed.
+// Tests of the persisted state: damaged text, and a writer that is killed.
 #include "recovery/persisted_state.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
         }
 }
 
-// Killed between any two of its calls.
+// The writer is killed between any two of its system calls.
 TEST(PersistedStateTest, AWriterKilledAtEachPointLeavesTheOldOrTheNewState) {
     const std::string folder = ::testing::TempDir() + "kept-" + std::to_string(::getpid());
     const base::GenerationFiles files(folder, "kept-", ".sumkept");
@@ -57,12 +57,12 @@
         int status = 0;
         ASSERT_EQ(::waitpid(child, &status, 0), child);
         killed += WEXITSTATUS(status) == 9 ? 1 : 0;
-        // As a start reads: the newest sound generation.
+        // As at startup: the newest valid generation.
         PersistedState state;
         bool found = false;
         for (const std::uint64_t generation : files.generations()) {
-            std::string text, fault;
-            ASSERT_EQ(base::read_regular_file(files.path_of(generation), kMaxStateBytes, text, fault),
+            std::string text, error;
+            ASSERT_EQ(base::read_regular_file(files.path_of(generation), kMaxStateBytes, text, error),
                       base::ReadStatus::ok);
             if (found = decode(text, state).empty(); found) break;
         }
@@ -71,7 +71,7 @@
         EXPECT_TRUE(WEXITSTATUS(status) == 9 || state == after);
         new_states += state == after ? 1 : 0;
     }
-    EXPECT_GE(killed, 5) << "the writer has so many points at least";
+    EXPECT_GE(killed, 5) << "the writer has at least 5 crash points";
     EXPECT_GT(new_states, 0);
     std::filesystem::remove_all(folder);
 }
--- a/tests/recovery/recovery_phases_test.cpp
+++ b/tests/recovery/recovery_phases_test.cpp
@@ -1,4 +1,4 @@
-// The phases of recovery, without a network: single events, and random histories.
+// Tests of the recovery phases without a network: single events and random event sequences.
 #include "recovery/recovery_phases.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
     RecoveryPhases late = with_state_read(5);
     late.on_report(100'000, report("n0", Phase::serving, false, true));
     EXPECT_EQ(late.phase(), Phase::querying);
-    EXPECT_TRUE(late.purges_confirmed()) << "its purges count all the same";
+    EXPECT_TRUE(late.purges_confirmed()) << "its purges count nevertheless";
 }
 
 TEST(RecoveryPhasesTest, SettlesOnceAllOtherMembersAreRecovering) {
@@ -53,7 +53,7 @@
     EXPECT_TRUE(phases.ready());
 }
 
-// Guards: a drain ended by itself after a loss of power, as if this process alone had restarted.
+// Regression: a drain ended after a power loss because it was taken for a restart of this process alone.
 TEST(RecoveryPhasesTest, TellsALossOfPowerFromARestartInAServingCluster) {
     RecoveryPhases restarted = with_state_read(3);
     restarted.on_report(100'000, report("n1", Phase::serving, true, true));
@@ -78,13 +78,15 @@
     EXPECT_FALSE(phases.serving_fleet(2));
 }
 
-// Events at random, in any order. Purges count as confirmed only after a report that says so.
+// Random events in any order. Purges count as confirmed only after a report that confirms them.
 TEST(RecoveryPhasesTest, EachPhaseEndsByItsDeadlineOver200Seeds) {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         std::mt19937_64 rng(seed);
-        const PhaseOptions options{
-            .query = 2 * kSecond, .settle = 3 * kSecond, .prime = 4 * kSecond, .elects = seed % 2 == 0};
+        const PhaseOptions options{.query_timeout = 2 * kSecond,
+                                   .settle_timeout = 3 * kSecond,
+                                   .prime_timeout = 4 * kSecond,
+                                   .wait_for_leader = seed % 2 == 0};
         RecoveryPhases phases(options, 0);
         bool confirmed_by_report = false;
         Micros serving_at = -1;
@@ -121,7 +123,8 @@
             if (phases.phase() == Phase::serving && serving_at < 0) serving_at = now;
         }
         ASSERT_GE(serving_at, 0);
-        EXPECT_LE(serving_at, kReadTimeout + options.query + options.settle + options.prime + kSecond);
+        EXPECT_LE(serving_at, kReadTimeout + options.query_timeout + options.settle_timeout +
+                                  options.prime_timeout + kSecond);
     }
 }
 
--- a/tests/rollout/lease_test.cpp
+++ b/tests/rollout/lease_test.cpp
@@ -190,7 +190,7 @@
     }
 }
 
-// All sequences of five events among the four members of a zone, with at most test_case crash: there are
+// All sequences of five events among the four members of a zone, with at most one crash: there are
 // never two leases at the same time.
 TEST(LeaseProperties, EachOrderOfRequestsReturnsAndACrashStaysWithinTheBudget) {
     int orders = 0;
