--- a/src/admin/api.h
+++ b/src/admin/api.h
@@ -1,6 +1,5 @@
-// The operators' calls as the admin server takes them: a method and a path in, a status and a body out, the
-// administrative state changed as the call says. Pure: which ids were ever listed, and the stats, are passed
-// in.
+// Handles operator calls of the admin API: takes a method and a path, updates the administrative state and
+// returns a status and a body. Pure: the known endpoint ids and the stats are passed in.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +18,8 @@
 
 struct ApiReply {
     int status = 200;
-    std::string body;            // one line or a few, text
-    bool state_changed = false;  // it is to be applied and handed over
+    std::string body;            // text of one or more lines
+    bool state_changed = false;  // the caller must apply it and write it to the handover record
 };
 
 // One counter or gauge.
@@ -29,24 +28,24 @@
     std::uint64_t value = 0;
 };
 
-// What GET /ops/stats shows besides the administrative state, as `gw_NAME VALUE` lines.
+// The values that GET /ops/stats returns in addition to the administrative state, as `gw_NAME VALUE` lines.
 struct Stats {
     std::size_t requests_open = 0, connections = 0, pop_caches_listed = 0;
-    std::size_t timer_count = 0;  // timers that are set
-    std::int64_t list_seq = 0;    // the number of the newest change the list has taken
+    std::size_t timer_count = 0;  // scheduled timers
+    std::int64_t list_seq = 0;    // sequence number of the newest applied change of the endpoint list
     std::vector<Counter> counters = {};
 };
 
-// What a path requests.
+// The action that a path requests.
 struct ParsedPath {
     enum class Action { other, down, up, drain_start, drain_stop } action = Action::other;
-    std::string id;  // down, up: the pop cache
+    std::string id;  // down, up: the pop cache's id
 };
 ParsedPath parse_path(std::string_view path);
 
 using IsKnownEndpoint = std::function<bool(const std::string& id)>;
 
-// `is_known`: the endpoint list or the configuration ever named that id.
+// `is_known`: whether the endpoint list or the configuration has ever contained the id.
 ApiReply handle_call(State& state, const ApiCall& call, const IsKnownEndpoint& is_known, const Stats& stats);
 
 }  // namespace sumackeel::admin
--- a/src/admin/handover_record.cpp
+++ b/src/admin/handover_record.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-// No process counts so far; beyond it a counter could not be raised any more.
+// Never reached in practice; larger values are rejected, so that a counter can always be incremented.
 constexpr std::uint64_t kMaxCounter = std::numeric_limits<std::uint64_t>::max() / 2;
-// Words, a counter, a writer and an id, with their blanks.
+// Keywords, a counter, a writer and an id, with separators.
 constexpr std::size_t kMaxLineSize = kMaxIdLength + 64;
 constexpr std::size_t kMaxRecordSize = (kMaxHandoverItems + kMaxBans + 8) * kMaxLineSize;
 constexpr int kDecimal = 10, kHexadecimal = 16;
 
-std::vector<std::string_view> words_of(std::string_view line) {
+std::vector<std::string_view> split_words(std::string_view line) {
     std::vector<std::string_view> words;
     for (;;) {
         const auto end = line.find(' ');
@@ -59,12 +59,12 @@
 
 // --- Calls ---
 
-void HandoverRecord::call(HandoverItem& item, bool on) const {
+void HandoverRecord::record_call(HandoverItem& item, bool on) const {
     item = {{item.version.counter + 1, writer_}, on, true};
 }
 
-// Null: all registers are bans that hold, or calls that are not confirmed.
-HandoverItem* HandoverRecord::make_room_for(const std::string& id) {
+// Returns null if there is no room: all registers are active bans or unconfirmed calls.
+HandoverItem* HandoverRecord::find_or_insert(const std::string& id) {
     if (const auto found = bans_.find(id); found != bans_.end()) return &found->second;
     if (bans_.size() >= kMaxHandoverItems) {
         const auto lifted = std::find_if(bans_.begin(), bans_.end(), [](const auto& entry) {
@@ -77,16 +77,16 @@
 }
 
 void HandoverRecord::set_banned(const std::string& id, bool banned) {
-    if (HandoverItem* item = make_room_for(id)) call(*item, banned);
+    if (HandoverItem* item = find_or_insert(id)) record_call(*item, banned);
 }
 
 void HandoverRecord::set_draining(bool draining) {
-    call(drain_, draining);
+    record_call(drain_, draining);
 }
 
 void HandoverRecord::add_ban(const std::string& id) {
     if (knows_ban(id)) return;
-    if (HandoverItem* item = make_room_for(id)) *item = {{1, 0}, true, false};
+    if (HandoverItem* item = find_or_insert(id)) *item = {{1, 0}, true, false};
 }
 
 void HandoverRecord::add_drain() {
@@ -109,27 +109,27 @@
 HandoverRecord::MergeResult HandoverRecord::merge(const HandoverRecord& other) {
     MergeResult result;
     for (const auto& [id, item] : other.bans_)
-        if (HandoverItem* own = make_room_for(id)) merge_item(*own, item, result);
+        if (HandoverItem* own = find_or_insert(id)) merge_item(*own, item, result);
     merge_item(drain_, other.drain_, result);
     if (other.legacy_.counter > legacy_.counter) legacy_ = other.legacy_;
     return result;
 }
 
-bool HandoverRecord::merge_legacy(const State& found) {
+bool HandoverRecord::merge_legacy(const State& current) {
     MergeResult ignored;
     std::set<std::string> ids = legacy_.bans;
-    ids.insert(found.bans().begin(), found.bans().end());
-    bool differs = found.drain_requested() != legacy_.draining;
+    ids.insert(current.bans().begin(), current.bans().end());
+    bool differs = current.drain_requested() != legacy_.draining;
     for (const std::string& id : ids) {
-        const bool banned = found.is_banned(id);
+        const bool banned = current.is_banned(id);
         if (banned == legacy_.bans.contains(id)) continue;
         differs = true;
-        if (HandoverItem* item = make_room_for(id))
+        if (HandoverItem* item = find_or_insert(id))
             merge_item(*item, {{item->version.counter + 1, 0}, banned, false}, ignored);
     }
-    if (found.drain_requested() != legacy_.draining)
-        merge_item(drain_, {{drain_.version.counter + 1, 0}, found.drain_requested(), false}, ignored);
-    if (differs) set_legacy(found);
+    if (current.drain_requested() != legacy_.draining)
+        merge_item(drain_, {{drain_.version.counter + 1, 0}, current.drain_requested(), false}, ignored);
+    if (differs) set_legacy(current);
     return differs;
 }
 
@@ -155,7 +155,7 @@
     return result;
 }
 
-// --- Form ---
+// --- Encoding ---
 
 std::string HandoverRecord::encode() const {
     std::string lines;
@@ -167,21 +167,21 @@
         lines += fmt::format("version-1 {} {}\n", legacy_.counter, legacy_.draining ? "on" : "off");
         for (const std::string& id : legacy_.bans) lines += fmt::format("version-1-down {}\n", id);
     }
-    return seal_text(kHandoverRecordVersion, lines);
+    return add_envelope(kHandoverRecordVersion, lines);
 }
 
 std::string HandoverRecord::decode(std::string_view text, HandoverRecord& record) {
-    const UnsealedText unsealed = unseal_text(text, kHandoverRecordVersion, kMaxRecordSize);
-    if (!unsealed.error.empty()) return unsealed.error;
+    const EnvelopeContent content = remove_envelope(text, kHandoverRecordVersion, kMaxRecordSize);
+    if (!content.error.empty()) return content.error;
     HandoverRecord read(record.writer_);
-    for (std::size_t i = 0; i < unsealed.lines.size(); ++i)
-        if (!read.decode_line(unsealed.lines[i])) return fmt::format("line {} can't be read", i + 2);
+    for (std::size_t i = 0; i < content.lines.size(); ++i)
+        if (!read.decode_line(content.lines[i])) return fmt::format("line {} can't be read", i + 2);
     record = std::move(read);
     return {};
 }
 
 bool HandoverRecord::decode_line(std::string_view line) {
-    const std::vector<std::string_view> words = words_of(line);
+    const std::vector<std::string_view> words = split_words(line);
     const std::string_view kind = words.front();
     if (kind == "version-1-down" && words.size() == 2 && is_valid_id(words[1]))
         return legacy_.bans.size() < kMaxBans && legacy_.bans.emplace(words[1]).second;
@@ -211,12 +211,12 @@
     const std::string drain = fmt::format("drain {}\n", state.drain_requested() ? "on" : "off");
     std::string lines = drain + drain;
     for (const std::string& id : state.bans()) lines += fmt::format("down {}\n", id);
-    return seal_text(kStateVersion, lines);
+    return add_envelope(kStateVersion, lines);
 }
 
 bool is_legacy_copy(std::string_view text) {
-    const UnsealedText unsealed = unseal_text(text, kStateVersion, kMaxRecordSize);
-    return unsealed.lines.size() >= 2 && unsealed.lines[0] == unsealed.lines[1];
+    const EnvelopeContent content = remove_envelope(text, kStateVersion, kMaxRecordSize);
+    return content.lines.size() >= 2 && content.lines[0] == content.lines[1];
 }
 
 }  // namespace sumackeel::admin
--- a/src/admin/handover_record.h
+++ b/src/admin/handover_record.h
@@ -1,11 +1,11 @@
-// The operators' calls as the processes of an upgrade share them: a last-writer-wins register for the ban of
-// each pop cache and one for the drain. Each process writes a record of its own and merges those of the
-// others, so none replaces what another wrote. A value: no clock, no file.
+// The operator calls shared between the processes of an upgrade: a last-writer-wins register for the ban of
+// each pop cache and one for the drain. Each process writes its own record and merges those of the others, so
+// no process overwrites another's record. A value type without clock or file access.
 //
-// Guarantees: merging is commutative, associative and idempotent. A call is unconfirmed until its owner has
-// seen, after writing it, that no other record has a later version; merge() puts an unconfirmed call above
-// any version that it meets. So a call that was confirmed before another one began is below that one
-// everywhere.
+// Guarantees: merging is commutative, associative and idempotent. A call is unconfirmed until its process has
+// verified, after writing it, that no other record has a later version; merge() raises an unconfirmed call
+// above any later version that it encounters. So a call that was confirmed before another call began has the
+// lower version in all processes.
 #pragma once
 
 #include <compare>
@@ -20,52 +20,50 @@
 
 namespace sumackeel::admin {
 
-// Of one register: a logical clock that each change raises, and whose change it was where two are equal.
+// Version of one register: a logical clock that each change increments, with the writer as the tie-breaker.
 struct ItemVersion {
     std::uint64_t counter = 0;  // 0: never changed
-    std::uint64_t writer = 0;   // of a process; 0: of a process of an earlier version of this program
+    std::uint64_t writer = 0;   // identifies the process; 0: a process of an earlier program version
     auto operator<=>(const ItemVersion&) const = default;
 };
 
 struct HandoverItem {
     ItemVersion version;
     bool on = false;
-    bool unconfirmed = false;  // a call at this process that is not known to be the latest; not encoded
+    bool unconfirmed = false;  // called at this process and not known to be the latest; not encoded
     bool operator==(const HandoverItem&) const = default;
 };
 
-// Bans that hold and bans that were lifted; of these a register goes when there is no room for another.
+// Active and lifted bans; if the limit is reached, the register of a lifted ban is evicted.
 constexpr std::size_t kMaxHandoverItems = 2 * kMaxBans;
 constexpr int kHandoverRecordVersion = 2;
 
 class HandoverRecord {
   public:
-    // `writer`: of this process, not 0.
+    // `writer`: identifies this process; not 0.
     explicit HandoverRecord(std::uint64_t writer = 0) : writer_(writer) {}
 
     std::uint64_t writer() const { return writer_; }
 
-    // A call at this process; also one that changes nothing counts, as another process may have changed it.
+    // Records a call at this process, also without a change: another process may have changed the value.
     void set_banned(const std::string& id, bool banned);
     void set_draining(bool draining);
-    // What this process knows from elsewhere and no record has: any version is later.
+    // Adds state from another source that no record contains; any recorded call has a later version.
     void add_ban(const std::string& id);
     void add_drain();
 
     struct MergeResult {
-        bool changed = false;  // a ban or the drain is another one now
-        bool reasserted =
-            false;  // an unconfirmed call was put above a version met, and is to be written anew
+        bool changed = false;     // a ban or the drain has changed
+        bool reasserted = false;  // an unconfirmed call got a higher version and must be rewritten
     };
     MergeResult merge(const HandoverRecord& other);
-    // The state that processes of earlier versions share, as it was found: what differs from how it was found
-    // last was called there.
-    // True: the record has changed by it.
-    bool merge_legacy(const State& found);
-    // The legacy state was replaced by this one.
+    // Merges the state shared by processes of earlier versions, as read now: differences from the last read
+    // are treated as calls at such a process. Returns true if the record has changed.
+    bool merge_legacy(const State& current);
+    // Records that the legacy state was replaced by `written`.
     void set_legacy(const State& written);
 
-    // All calls here are the latest.
+    // Marks all calls at this process as the latest.
     void confirm();
     bool has_unconfirmed() const;
 
@@ -73,36 +71,37 @@
     bool knows_ban(const std::string& id) const { return bans_.contains(id); }
     bool knows_drain() const { return drain_.version.counter > 0; }
     bool draining() const { return drain_.on; }
-    // Bans and the drain, as a state that has not started.
+    // The bans and the drain as a State in phase `starting`.
     State state() const;
 
-    // Text (docs/design/service-days.md has it byte by byte).
+    // Text; the format is described in docs/design/service-days.md.
     std::string encode() const;
-    // Empty: done; else what is wrong, and `record` is as it was.
+    // Returns empty on success, otherwise the error, leaving `record` unchanged.
     static std::string decode(std::string_view text, HandoverRecord& record);
 
     bool operator==(const HandoverRecord&) const = default;
 
   private:
     struct Legacy {
-        std::uint64_t counter = 0;  // 0: never found
+        std::uint64_t counter = 0;  // 0: never read
         bool draining = false;
         std::set<std::string> bans;
         bool operator==(const Legacy&) const = default;
     };
-    HandoverItem* make_room_for(const std::string& id);
-    void call(HandoverItem& item, bool on) const;
+    HandoverItem* find_or_insert(const std::string& id);
+    void record_call(HandoverItem& item, bool on) const;
     void merge_item(HandoverItem& item, const HandoverItem& other, MergeResult& result) const;
     bool decode_line(std::string_view line);
 
     std::uint64_t writer_ = 0;
-    std::map<std::string, HandoverItem> bans_;  // by the pop cache's id
+    std::map<std::string, HandoverItem> bans_;  // by pop cache id
     HandoverItem drain_;
     Legacy legacy_;
 };
 
-// A copy of the state in the form that processes of earlier versions read, for one that is started again
-// later. The drain's line stands twice, which they accept, and tells the copy from what such a process wrote.
+// Encodes the state in the format of earlier program versions, for a process of such a version that is
+// started later. The drain line is repeated, which they accept; it distinguishes the copy from what such a
+// process wrote.
 std::string encode_legacy_copy(const State& state);
 bool is_legacy_copy(std::string_view text);
 
--- a/src/admin/sealed_text.h
+++ b/src/admin/sealed_text.h
@@ -1,4 +1,5 @@
-// The outer form of a hand-over text: a first line with its version, lines, and a checksum as the last line.
+// The envelope of a handover text: a header line with the version, the content, and a checksum as the last
+// line.
 #pragma once
 
 #include <string>
@@ -7,14 +8,14 @@
 
 namespace sumackeel::admin {
 
-// The text of `version` with these lines, each of which ends with a line feed.
-std::string seal_text(int version, std::string_view lines);
+// Wraps `lines`, each of which must end with a line feed, in the envelope for `version`.
+std::string add_envelope(int version, std::string_view lines);
 
-struct UnsealedText {
-    std::vector<std::string_view> lines;  // without the first and the last; they refer to the text
-    std::string error;                    // empty: the text is sound
+struct EnvelopeContent {
+    std::vector<std::string_view> lines;  // without header and checksum; views into the text
+    std::string error;                    // empty: the text is valid
 };
-// Checks a text of `version`, of `max_size` bytes at the most.
-UnsealedText unseal_text(std::string_view text, int version, std::size_t max_size);
+// Verifies a text of `version` with at most `max_size` bytes and returns its content.
+EnvelopeContent remove_envelope(std::string_view text, int version, std::size_t max_size);
 
 }  // namespace sumackeel::admin
--- a/src/admin/state.cpp
+++ b/src/admin/state.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// The file of kMaxBans ids of the longest kind, with room for the lines round them.
-constexpr std::size_t kLongestText = kMaxBans * (kMaxIdLength + 5) + 4096;
+// A file with kMaxBans ids of maximum length, plus room for the other lines.
+constexpr std::size_t kMaxTextSize = kMaxBans * (kMaxIdLength + 5) + 4096;
 
 }  // namespace
 
@@ -59,26 +59,26 @@
     phase_ = ProcessPhase::shutting_down;
 }
 
-ChangeResult State::ban(std::string_view id, bool listed) {
+ChangeResult State::ban(std::string_view id, bool is_listed) {
     if (!is_valid_id(id)) return ChangeResult::unknown;
     const std::string key(id);
-    if (bans_.contains(key)) return ChangeResult::accepted;  // a call repeated
-    if (!listed) return ChangeResult::unknown;
+    if (bans_.contains(key)) return ChangeResult::accepted;  // repeated call
+    if (!is_listed) return ChangeResult::unknown;
     if (bans_.size() >= kMaxBans) return ChangeResult::rejected;
     bans_.insert(key);
     return ChangeResult::accepted;
 }
 
-ChangeResult State::unban(std::string_view id, bool listed) {
+ChangeResult State::unban(std::string_view id, bool is_listed) {
     if (!is_valid_id(id)) return ChangeResult::unknown;
-    if (bans_.erase(std::string(id)) > 0 || listed) return ChangeResult::accepted;
+    if (bans_.erase(std::string(id)) > 0 || is_listed) return ChangeResult::accepted;
     return ChangeResult::unknown;
 }
 
 std::string State::encode() const {
     std::string lines = fmt::format("drain {}\n", drain_requested_ ? "on" : "off");
     for (const std::string& id : bans_) lines += fmt::format("down {}\n", id);
-    return seal_text(kStateVersion, lines);
+    return add_envelope(kStateVersion, lines);
 }
 
 void State::adopt(const State& old) {
@@ -98,11 +98,11 @@
 
 DecodedState decode_state(std::string_view text) {
     const auto rejected = [](std::string error) { return DecodedState{std::nullopt, std::move(error)}; };
-    const UnsealedText unsealed = unseal_text(text, kStateVersion, kLongestText);
-    if (!unsealed.error.empty()) return rejected(unsealed.error);
+    const EnvelopeContent content = remove_envelope(text, kStateVersion, kMaxTextSize);
+    if (!content.error.empty()) return rejected(content.error);
     State state;
-    for (std::size_t i = 0; i < unsealed.lines.size(); ++i) {
-        const std::string_view line = unsealed.lines[i];
+    for (std::size_t i = 0; i < content.lines.size(); ++i) {
+        const std::string_view line = content.lines[i];
         if (line == "drain on") {
             state.drain_requested_ = true;
         } else if (line == "drain off") {
--- a/src/admin/state.h
+++ b/src/admin/state.h
@@ -1,6 +1,6 @@
-// The administrative state: which pop caches the operators banned, whether this proxy drains, and whether it
-// is ready. A value: events in, results out. No clock, no file, no socket: the daemon feeds it and carries
-// out what it says.
+// The administrative state: the pop caches banned by operators, and whether this proxy is draining and ready.
+// A value type: takes events and returns results, without clock, file or socket access. The daemon passes
+// events in and applies the resulting state.
 #pragma once
 
 #include <cstddef>
@@ -11,55 +11,56 @@
 
 namespace sumackeel::admin {
 
-// More than any site lists (a fleet has 200 pop caches at most); beyond it a ban is refused, never dropped.
+// Above the size of any site (a fleet has at most 200 pop caches). Further bans are rejected; existing bans
+// are never dropped.
 constexpr std::size_t kMaxBans = 4096;
-// A pop cache's id is a host name: letters, digits and `-._`, as service discovery writes them.
+// A pop cache id is a host name of letters, digits and `-._`, as used by service discovery.
 constexpr std::size_t kMaxIdLength = 253;
 
-// The phase of this process, as readiness checks see it.
+// The phase of this process, as reported to readiness checks.
 enum class ProcessPhase {
-    starting,       // not able to serve yet: the servers do not listen, or the hand-over was not read
+    starting,       // not ready: the servers do not listen yet, or the handover record was not read yet
     serving,        // ready: new connections are accepted
     draining,       // not ready: clients' connections are closed until the drain ends
-    shutting_down,  // not ready, for good
+    shutting_down,  // not ready, permanently
 };
 const char* name_of(ProcessPhase phase);
 
 enum class ChangeResult {
     accepted,
-    unknown,   // an id never listed, or one that is no id at all
-    rejected,  // not in this phase, or the table of bans is full
+    unknown,   // an id that was never listed, or an invalid id
+    rejected,  // not allowed in this phase, or the ban limit is reached
 };
 
 struct DecodedState;
 
 class State {
   public:
-    // Events; none throws.
+    // Events. They do not throw.
     void on_started();  // from starting to serving
     ChangeResult start_drain();
     ChangeResult stop_drain();
     void on_shutdown();
-    // `listed`: service discovery or the configuration ever named this id. A ban holds whatever they say
-    // later.
-    ChangeResult ban(std::string_view id, bool listed);
-    ChangeResult unban(std::string_view id, bool listed);
+    // `is_listed`: whether service discovery or the configuration has ever contained this id. A ban stays
+    // when they no longer do.
+    ChangeResult ban(std::string_view id, bool is_listed);
+    ChangeResult unban(std::string_view id, bool is_listed);
 
     ProcessPhase phase() const { return phase_; }
     bool is_ready() const { return phase_ == ProcessPhase::serving; }
-    // Clients' connections are to be closed: busy ones after their last response, idle ones at once.
+    // Whether client connections are to be closed: busy ones after their last response, idle ones now.
     bool is_draining_clients() const {
         return phase_ == ProcessPhase::draining || phase_ == ProcessPhase::shutting_down;
     }
     bool is_banned(const std::string& id) const { return bans_.contains(id); }
     const std::set<std::string>& bans() const { return bans_; }
 
-    // The hand-over form of processes of earlier versions: bans and the drain (docs/design/service-days.md
-    // has it byte by byte).
+    // The handover format of earlier program versions: bans and the drain. It is described in
+    // docs/design/service-days.md.
     std::string encode() const;
-    // Takes over the bans and the drain of another state.
+    // Adds the bans and the drain of another state.
     void adopt(const State& old);
-    // Takes over what differs between two states of other processes.
+    // Applies the changes between two states of another process.
     void apply_difference(const State& before, const State& after);
     bool drain_requested() const { return drain_requested_; }
 
@@ -69,12 +70,12 @@
     friend DecodedState decode_state(std::string_view text);
 
     ProcessPhase phase_ = ProcessPhase::starting;
-    bool drain_requested_ = false;  // by the last drain call
+    bool drain_requested_ = false;  // according to the last drain call
     std::set<std::string> bans_;
 };
 
 struct DecodedState {
-    std::optional<State> state;  // none: `error` says why
+    std::optional<State> state;  // empty: see `error`
     std::string error;
 };
 constexpr int kStateVersion = 1;
--- a/src/recovery/fill_budget.cpp
+++ b/src/recovery/fill_budget.cpp
@@ -8,8 +8,7 @@
 namespace {
 
 constexpr double kBucketDurationS = 0.5;  // bucket capacity, in seconds at the full rate
-constexpr double kMinCapacity =
-    1;  // fills; quotas below one fill per second still admit one from time to time
+constexpr double kMinCapacity = 1;        // fills; a quota below one per second still admits some
 // Transfers of large objects occupy a source's link for a long time and delay the requests queued behind
 // them. The size limit starts at common sizes and increases fourfold with each step.
 constexpr double kInitialMaxKb = 512, kSizeStepFactor = 4;
--- a/src/recovery/recovery_phases.h
+++ b/src/recovery/recovery_phases.h
@@ -75,8 +75,7 @@
     bool purges_confirmed() const { return purges_confirmed_; }
     // Whether a member of a serving cluster has replied since `querying` was last entered.
     bool found_serving_fleet() const { return found_serving_fleet_; }
-    // Whether `settling` was entered because no member of a serving cluster replied: the power loss hit them
-    // all.
+    // Whether `settling` was entered because no member of a serving cluster replied: all lost power.
     bool whole_cluster_was_down() const { return whole_cluster_was_down_; }
     // Reported to others: this member serves, and `members_back` is a majority of the previous members.
     bool serving_fleet(std::size_t members_back) const;
--- a/src/rollout/disruption_budget.cpp
+++ b/src/rollout/disruption_budget.cpp
@@ -12,8 +12,7 @@
 struct Disruption {
     std::vector<std::string> out_in_zone;
     std::vector<std::string> out_in_fleet;
-    std::vector<std::string> out_in_related_zones;  // in the zone's parent region, or in zones that have this
-                                                    // zone as their parent region
+    std::vector<std::string> out_in_related_zones;  // the parent region, or zones that this one is parent of
     std::size_t zone_members = 0;
     double zone_weight = 0;
     double zone_weight_out = 0;
--- a/src/rollout/lease.h
+++ b/src/rollout/lease.h
@@ -22,10 +22,9 @@
 // How many members of one kind may be unavailable at once. All limits must hold.
 struct DisruptionBudget {
     int max_unavailable_in_zone = 1;
-    double max_zone_weight_share =
-        0.5;                          // of the zone's weight; applies if more than one member is unavailable
-    int max_unavailable = 4;          // in the whole fleet
-    Micros min_interval_in_zone = 0;  // between a member's lease return and the next lease in its zone
+    double max_zone_weight_share = 0.5;  // of the zone's weight, if more than one member is unavailable
+    int max_unavailable = 4;             // in the whole fleet
+    Micros min_interval_in_zone = 0;     // between a member's lease return and the next lease in its zone
     bool operator==(const DisruptionBudget&) const = default;
 };
 
@@ -61,8 +60,7 @@
     Micros since = 0;  // Unix time by the leader's clock
     bool forced = false;
     std::uint64_t release = 0;  // an upgrade lease: the release's number; 0: a plain drain lease
-    std::uint64_t start =
-        0;  // start number of the process that was granted it; a higher start number replaced it
+    std::uint64_t start = 0;    // start number of the process that was granted it; a higher one replaced it
     bool operator==(const Lease&) const = default;
 };
 
--- a/src/rollout/release_simulation.cpp
+++ b/src/rollout/release_simulation.cpp
@@ -10,10 +10,9 @@
 
 namespace {
 
-constexpr Micros kTick = 500'000;  // the leader's evaluation interval
-constexpr Micros kRetryInterval =
-    1 * base::kSecond;  // for rejected lease requests if min_interval_in_zone is set
-constexpr std::size_t kSimulatedLatencyBucket = 2;  // responses of up to 4 ms
+constexpr Micros kTick = 500'000;                     // the leader's evaluation interval
+constexpr Micros kRetryInterval = 1 * base::kSecond;  // of rejected requests, if there is a minimum interval
+constexpr std::size_t kSimulatedLatencyBucket = 2;    // responses of up to 4 ms
 constexpr const char* kRequester = "rehearsal";
 
 struct SimulatedMember {
--- a/src/rollout/state.h
+++ b/src/rollout/state.h
@@ -24,8 +24,7 @@
 
 class State {
   public:
-    // Result: granted (also if the member already holds the lease), rejected, or none: the upgrade lease is
-    // not needed.
+    // Result: granted (also if already held), rejected, or none: the upgrade lease is not needed.
     CommandResult apply(const LeaseRequest& request);
     // Result: returned, or none: the member has no lease.
     CommandResult apply(const LeaseReturn& lease_return);
--- a/tests/admin/drain_schedule_test.cpp
+++ b/tests/admin/drain_schedule_test.cpp
@@ -1,4 +1,4 @@
-// The stages of a drain, on times handed in.
+// Tests of the drain stages and deadlines with times passed in.
 #include "admin/drain_schedule.h"
 
 #include <gtest/gtest.h>
@@ -10,28 +10,29 @@
 using sumackeel::admin::Micros;
 
 constexpr Micros kBegan = 1'000'000'000, kSecond = 1'000'000;
-constexpr Micros kNoneHeld = 4 * kSecond;  // the operators' page
+constexpr Micros kDrainDuration = 4 * kSecond;  // documented to operators
 
 TEST(DrainSchedule, StagesFollowOneAnother) {
     const DrainSchedule drain(kBegan);
     const struct {
         Micros since;
         DrainStage stage;
-    } rows[] = {{0, DrainStage::serving},
-                {DrainSchedule::kServing - 1, DrainStage::serving},
-                {DrainSchedule::kServing, DrainStage::rejecting},
-                {DrainSchedule::kAnswered, DrainStage::closing},
-                {DrainSchedule::kForced, DrainStage::forcing},
-                {100 * kSecond, DrainStage::forcing}};
-    for (const auto& row : rows) EXPECT_EQ(drain.stage(kBegan + row.since), row.stage) << row.since;
+    } cases[] = {{0, DrainStage::serving},
+                 {DrainSchedule::kServing - 1, DrainStage::serving},
+                 {DrainSchedule::kServing, DrainStage::rejecting},
+                 {DrainSchedule::kAnswered, DrainStage::closing},
+                 {DrainSchedule::kForced, DrainStage::forcing},
+                 {100 * kSecond, DrainStage::forcing}};
+    for (const auto& test_case : cases)
+        EXPECT_EQ(drain.stage(kBegan + test_case.since), test_case.stage) << test_case.since;
     EXPECT_EQ(DrainSchedule().stage(kBegan), DrainStage::none);
     EXPECT_FALSE(DrainSchedule().rejects_new_requests(kBegan));
 }
 
 TEST(DrainSchedule, WhatCameInTheFirstTwoSecondsIsServedAndNothingIsHeldAtFour) {
     EXPECT_GE(DrainSchedule::kServing, 2 * kSecond);
-    EXPECT_LT(DrainSchedule::kForced + DrainSchedule::kLateSilence, kNoneHeld);
-    EXPECT_EQ(DrainSchedule(kBegan).ends_at(), kBegan + kNoneHeld);
+    EXPECT_LT(DrainSchedule::kForced + DrainSchedule::kLateIdleTimeout, kDrainDuration);
+    EXPECT_EQ(DrainSchedule(kBegan).ends_at(), kBegan + kDrainDuration);
     EXPECT_FALSE(DrainSchedule().ends_at());
 }
 
@@ -45,7 +46,7 @@
     const DrainSchedule drain(kBegan);
     const Micros now = kBegan + DrainSchedule::kServing;
     EXPECT_EQ(drain.rejection_deadline(now, 400'000), now + 100'000);
-    EXPECT_EQ(drain.rejection_deadline(now, 60 * kSecond), now + DrainSchedule::kHoldMost);
+    EXPECT_EQ(drain.rejection_deadline(now, 60 * kSecond), now + DrainSchedule::kMaxRejectionDelay);
     EXPECT_EQ(drain.rejection_deadline(kBegan + DrainSchedule::kAnswered, 60 * kSecond),
               kBegan + DrainSchedule::kAnswered);
     EXPECT_EQ(drain.rejection_deadline(kBegan + 9 * kSecond, 60 * kSecond), kBegan + 9 * kSecond);
@@ -54,9 +55,9 @@
 TEST(DrainSchedule, PatienceOnlyShrinks) {
     const DrainSchedule drain(kBegan);
     EXPECT_EQ(DrainSchedule().timeout(15 * kSecond, kBegan), 15 * kSecond);
-    EXPECT_EQ(drain.timeout(15 * kSecond, kBegan), DrainSchedule::kSilence);
+    EXPECT_EQ(drain.timeout(15 * kSecond, kBegan), DrainSchedule::kIdleTimeout);
     EXPECT_EQ(drain.timeout(1 * kSecond, kBegan), 1 * kSecond);
-    EXPECT_EQ(drain.timeout(1 * kSecond, kBegan + DrainSchedule::kAnswered), DrainSchedule::kLateSilence);
+    EXPECT_EQ(drain.timeout(1 * kSecond, kBegan + DrainSchedule::kAnswered), DrainSchedule::kLateIdleTimeout);
 }
 
 }  // namespace
--- a/tests/admin/handover_record_test.cpp
+++ b/tests/admin/handover_record_test.cpp
@@ -1,5 +1,4 @@
-// The record that processes of an upgrade share: merging, calls that cross, processes of an earlier version,
-// its form.
+// Tests of the handover record: merging, concurrent calls, processes of an earlier version, and the encoding.
 #include "admin/handover_record.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +19,7 @@
     return state;
 }
 
-// One more confirmed call, made as the daemon makes it: behind a reading of all others.
+// Makes a confirmed call in the same way as the daemon: merges all other records before and after it.
 void call(HandoverRecord& record, const std::vector<HandoverRecord*>& others, const std::string& id,
           bool on) {
     for (const HandoverRecord* other : others) record.merge(*other);
@@ -34,16 +33,16 @@
 TEST(HandoverRecord, TheCallConfirmedLastHoldsInWhateverOrderRecordsAreMerged) {
     const std::array<std::string, 4> ids{"s-a", "s-b", "s-c", "s-d"};
     for (std::uint32_t seed = 1; seed <= 200; ++seed) {
-        std::mt19937 chance(seed);
+        std::mt19937 rng(seed);
         std::array<HandoverRecord, 3> records{HandoverRecord(1), HandoverRecord(2), HandoverRecord(3)};
         const std::vector<HandoverRecord*> all{&records[0], &records[1], &records[2]};
         std::set<std::string> expected;
         for (int step = 0; step < 60; ++step) {
-            const std::string& id = ids[chance() % ids.size()];
-            const bool on = chance() % 2 == 0;
-            call(records[chance() % records.size()], all, id, on);
+            const std::string& id = ids[rng() % ids.size()];
+            const bool on = rng() % 2 == 0;
+            call(records[rng() % records.size()], all, id, on);
             on ? expected.insert(id).second : expected.erase(id) > 0;
-            if (chance() % 5 == 0) records[chance() % 3].merge(records[chance() % 3]);
+            if (rng() % 5 == 0) records[rng() % 3].merge(records[rng() % 3]);
         }
         HandoverRecord later(4), other_order(5);
         for (const HandoverRecord* record : all) later.merge(*record);
@@ -53,34 +52,34 @@
     }
 }
 
-// Guards: a call was answered while another process had already replaced it.
+// Regression: a call was acknowledged although another process had already replaced it.
 TEST(HandoverRecord, AnUnconfirmedCallGoesAboveTheVersionsThatItMeets) {
-    HandoverRecord old(1), fresh(2);
-    old.set_banned("s-a", true);
-    old.set_banned("s-a", false);
-    old.set_banned("s-a", true);
-    old.confirm();
-    fresh.set_banned("s-a", false);
-    const auto met = fresh.merge(old);
-    EXPECT_TRUE(met.reasserted);
-    EXPECT_FALSE(met.changed);
-    EXPECT_FALSE(fresh.merge(old).reasserted);
-    fresh.confirm();
-    EXPECT_TRUE(old.merge(fresh).changed);
-    EXPECT_TRUE(old.state().bans().empty());
-    EXPECT_EQ(old.merge(fresh).changed, false);
+    HandoverRecord old_record(1), new_record(2);
+    old_record.set_banned("s-a", true);
+    old_record.set_banned("s-a", false);
+    old_record.set_banned("s-a", true);
+    old_record.confirm();
+    new_record.set_banned("s-a", false);
+    const auto merged = new_record.merge(old_record);
+    EXPECT_TRUE(merged.reasserted);
+    EXPECT_FALSE(merged.changed);
+    EXPECT_FALSE(new_record.merge(old_record).reasserted);
+    new_record.confirm();
+    EXPECT_TRUE(old_record.merge(new_record).changed);
+    EXPECT_TRUE(old_record.state().bans().empty());
+    EXPECT_EQ(old_record.merge(new_record).changed, false);
 }
 
 TEST(HandoverRecord, ACallThatChangesNothingHereStillReplacesAnEarlierOneElsewhere) {
-    HandoverRecord old(1), fresh(2);
-    call(old, {&fresh}, "s-a", true);
-    call(fresh, {&old}, "s-a", false);
-    call(old, {&fresh}, "s-a", true);  // it has merged nothing since
-    fresh.merge(old);
-    EXPECT_TRUE(fresh.state().is_banned("s-a"));
-    fresh.set_draining(false);
-    fresh.confirm();
-    EXPECT_TRUE(fresh.knows_drain());
+    HandoverRecord old_record(1), new_record(2);
+    call(old_record, {&new_record}, "s-a", true);
+    call(new_record, {&old_record}, "s-a", false);
+    call(old_record, {&new_record}, "s-a", true);  // it has merged nothing since its last call
+    new_record.merge(old_record);
+    EXPECT_TRUE(new_record.state().is_banned("s-a"));
+    new_record.set_draining(false);
+    new_record.confirm();
+    EXPECT_TRUE(new_record.knows_drain());
 }
 
 TEST(HandoverRecord, ABanKnownFromElsewhereIsBelowAnyCall) {
@@ -101,11 +100,11 @@
     EXPECT_TRUE(record.draining());
     record.set_banned("s-a", false);
     record.confirm();
-    EXPECT_FALSE(record.merge_legacy(state_with({"s-a"}, true)));  // nobody was called there since
+    EXPECT_FALSE(record.merge_legacy(state_with({"s-a"}, true)));  // no call there since the last merge
     EXPECT_TRUE(record.state().bans().empty());
     EXPECT_TRUE(record.merge_legacy(state_with({"s-a", "s-b"}, true)));
     EXPECT_EQ(record.state().bans(), (std::set<std::string>{"s-b"}));
-    // Another process that finds the same text has nothing to take from it.
+    // Another process that reads the same text finds no difference.
     HandoverRecord later(2);
     later.merge(record);
     EXPECT_FALSE(later.merge_legacy(state_with({"s-a", "s-b"}, true)));
@@ -145,7 +144,7 @@
     }
 }
 
-// Registers of bans that were lifted give way; bans that hold, and calls that are not confirmed, never do.
+// Registers of lifted bans are evicted; active bans and unconfirmed calls never are.
 TEST(HandoverRecord, IsBoundedAndForgetsNoBan) {
     HandoverRecord record(1);
     for (std::size_t i = 0; i < kMaxBans; ++i) record.set_banned("down-" + std::to_string(i), true);
