--- a/src/admin/drain_schedule.h
+++ b/src/admin/drain_schedule.h
@@ -27,10 +27,10 @@
 class DrainSchedule {
   public:
     // All times count from the start of the drain, which is not later than the reply to the drain call.
-    static constexpr Micros kServing = 2'000'000;
-    static constexpr Micros kAnswered = 3'400'000;
-    static constexpr Micros kForced = 3'700'000;
-    static constexpr Micros kEnded = 4'000'000;
+    static constexpr Micros kRejectAfter = 2'000'000;
+    static constexpr Micros kResponseDeadline = 3'400'000;
+    static constexpr Micros kForceAfter = 3'700'000;
+    static constexpr Micros kEndAfter = 4'000'000;
     // Time-outs for a client that has no open request and does not complete a new one. In the last stages
     // only the time for a request in flight is allowed.
     static constexpr Micros kIdleTimeout = 2'000'000, kLateIdleTimeout = 150'000;
@@ -48,16 +48,20 @@
     DrainStage stage(Micros now) const {
         if (!began_) return DrainStage::none;
         const Micros elapsed = now - *began_;
-        if (elapsed < kServing) return DrainStage::serving;
-        if (elapsed < kAnswered) return DrainStage::rejecting;
-        return elapsed < kForced ? DrainStage::closing : DrainStage::forcing;
+        if (elapsed < kRejectAfter) return DrainStage::serving;
+        if (elapsed < kResponseDeadline) return DrainStage::rejecting;
+        return elapsed < kForceAfter ? DrainStage::closing : DrainStage::forcing;
     }
     // When all connections that the drain closes are closed; empty: no drain.
-    std::optional<Micros> ends_at() const { return began_ ? std::optional(*began_ + kEnded) : std::nullopt; }
+    std::optional<Micros> ends_at() const {
+        return began_ ? std::optional(*began_ + kEndAfter) : std::nullopt;
+    }
     bool rejects_new_requests(Micros now) const { return stage(now) >= DrainStage::rejecting; }
 
     // The response deadline for a request that shares its connection with a rejected one.
-    Micros response_deadline(Micros now) const { return std::max(now, began_.value_or(now) + kAnswered); }
+    Micros response_deadline(Micros now) const {
+        return std::max(now, began_.value_or(now) + kResponseDeadline);
+    }
 
     // The latest time to send the rejection of a request that arrived at `now`. `time_left`: until its client
     // times out.
--- a/src/daemon/admin_routes.cpp
+++ b/src/daemon/admin_routes.cpp
@@ -51,7 +51,7 @@
         return admin::ApiReply{200, recovery->as_json(), false};
     if (!call.path.starts_with(kRecoveryGoPrefix) || call.method != "POST") return std::nullopt;
     recovery::Phase phase{};
-    if (!recovery::phase_named(std::string(call.path.substr(kRecoveryGoPrefix.size())), phase))
+    if (!recovery::parse_phase(std::string(call.path.substr(kRecoveryGoPrefix.size())), phase))
         return admin::ApiReply{400, "no such stage\n", false};
     recovery->advance_to(phase, "an operator at " + components_.cluster_transport->membership().self().name);
     return admin::ApiReply{200, fmt::format("{}\n", recovery::name_of(phase)), false};
--- a/src/daemon/drain_report.cpp
+++ b/src/daemon/drain_report.cpp
@@ -33,7 +33,8 @@
     if (!drain.is_active())
         return log::info("drain over after {} ms", before.age(loop_.clock().now()) / 1000);
     line();
-    for (const base::Micros at : {admin::DrainSchedule::kServing, admin::DrainSchedule::kAnswered, kNoneHeld})
+    for (const base::Micros at :
+         {admin::DrainSchedule::kRejectAfter, admin::DrainSchedule::kResponseDeadline, kNoneHeld})
         line_at(at);
 }
 
--- a/src/recovery/persisted_state.cpp
+++ b/src/recovery/persisted_state.cpp
@@ -52,7 +52,7 @@
     const auto space = line.find(' ');
     const std::string_view keyword = line.substr(0, space);
     const std::string value(space == std::string_view::npos ? "" : line.substr(space + 1));
-    if (keyword == "stage") return phase_named(value, state.phase);
+    if (keyword == "stage") return parse_phase(value, state.phase);
     if (std::set<std::string>* names = names_of(state, keyword)) {
         if (!is_valid_name(value) || names->size() >= kMaxNames) return false;
         names->insert(value);
--- a/src/recovery/recovery_phases.cpp
+++ b/src/recovery/recovery_phases.cpp
@@ -17,7 +17,7 @@
     return kPhaseNames[static_cast<std::size_t>(phase)];
 }
 
-bool phase_named(const std::string& name, Phase& phase) {
+bool parse_phase(const std::string& name, Phase& phase) {
     const auto found = std::find(kPhaseNames.begin(), kPhaseNames.end(), name);
     if (found == kPhaseNames.end()) return false;
     phase = static_cast<Phase>(found - kPhaseNames.begin());
--- a/src/recovery/recovery_phases.h
+++ b/src/recovery/recovery_phases.h
@@ -25,7 +25,7 @@
 };
 const char* name_of(Phase phase);
 // Returns false and leaves `phase` unchanged if there is no such phase.
-bool phase_named(const std::string& name, Phase& phase);
+bool parse_phase(const std::string& name, Phase& phase);
 
 struct PhaseOptions {
     Micros query_timeout = 2'000'000, settle_timeout = 5'000'000, prime_timeout = 60'000'000;
--- a/tests/daemon/connections_test.cpp
+++ b/tests/daemon/connections_test.cpp
@@ -217,7 +217,7 @@
     // In the same look at the timeouts, ahead of the idle ones.
     managed.on_first_closed = [&] {
         asking.send(requests);
-        managed.manager.set_drain(DrainSchedule(managed.loop.clock().now() - 2 * DrainSchedule::kForced));
+        managed.manager.set_drain(DrainSchedule(managed.loop.clock().now() - 2 * DrainSchedule::kForceAfter));
         managed.manager.set_draining(true);
         CHECK(managed.closed == 1);
     };
@@ -248,7 +248,8 @@
             managed.manager.set_shutdown_deadline(managed.loop.clock().now());
         }
         SUBCASE("the drain turns requests away") {
-            managed.manager.set_drain(DrainSchedule(managed.loop.clock().now() - DrainSchedule::kServing));
+            managed.manager.set_drain(
+                DrainSchedule(managed.loop.clock().now() - DrainSchedule::kRejectAfter));
         }
         managed.manager.set_draining(true);
         CHECK(managed.closed == 1);
@@ -302,7 +303,7 @@
         CHECK(managed.manager.discard_metrics().dropped_at_half_close == 0);
     }
     SUBCASE("the drain is over before the next try") {
-        managed.manager.set_drain(DrainSchedule(managed.loop.clock().now() - DrainSchedule::kEnded));
+        managed.manager.set_drain(DrainSchedule(managed.loop.clock().now() - DrainSchedule::kEndAfter));
         drain_over_dropped_request();
         CHECK(managed.closed == 1);
         CHECK(managed.manager.discard_metrics().dropped_at_half_close == 1);
