--- a/src/recovery/fill_budget.h
+++ b/src/recovery/fill_budget.h
@@ -4,10 +4,11 @@
 //
 // A request is charged the expected cost, which is the fraction of recent requests that caused a fill, and
 // the difference to the actual cost is settled when it ends. So a proxy in front of warm caches is not
-// limited by the worst-case cost of its requests. Guarantees: provided that the fraction is accurate, at most
-// the quota plus one bucket of fills start in any second; requests that need no copy are always admitted;
-// nothing is queued; the size limit for objects increases in steps during priming. Memory is bounded by
-// kMaxPrimedKeys.
+// limited by the worst-case cost of its requests.
+//
+// Guarantees: provided that the fraction is accurate, at most the quota plus one bucket of fills start in any
+// second; requests that need no copy are always admitted; nothing is queued; the size limit for objects
+// increases in steps during priming. Memory is bounded by kMaxPrimedKeys.
 #pragma once
 
 #include <array>
--- a/src/rollout/gate.cpp
+++ b/src/rollout/gate.cpp
@@ -31,7 +31,7 @@
     return ratio(share.count, share.requests);
 }
 
-// Whether the changed share exceeds the unchanged comparison by more than `allowed` and significantly.
+// Whether the changed share exceeds the unchanged one by more than `allowed` and significantly.
 bool is_worse(const Share& changed, const Share& unchanged, double allowed) {
     if (changed.count < kMinBadRequests || unchanged.requests == 0) return false;
     const double pooled = ratio(changed.count + unchanged.count, changed.requests + unchanged.requests);
