--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -17,10 +17,12 @@
 
 namespace {
 
-constexpr Micros kDatedWithin = 2'000;  // `dated` and the age asked for are told in whole milliseconds
-constexpr Micros kGuard = 4'000;        // the core's own last word comes this long before the client gives up
+constexpr Micros kOriginDateTolerance =
+    2'000;  // `dated` and the requested age have a resolution of 1 ms on the wire
+constexpr Micros kResponseMargin =
+    4'000;  // the core responds by itself this long before the client's deadline
 
-std::string name_of(Handle handle) {
+std::string format_handle(Handle handle) {
     return std::to_string(handle.slot) + '.' + std::to_string(handle.generation);
 }
 
@@ -44,7 +46,7 @@
     }
 }
 
-Handle Core::named(std::string_view name) const {
+Handle Core::parse_handle(std::string_view name) const {
     Handle handle;
     const char* end = name.data() + name.size();
     const auto slot = std::from_chars(name.data(), end, handle.slot);
@@ -53,85 +55,89 @@
     return generation.ec == std::errc{} && generation.ptr == end ? handle : Handle{};
 }
 
-Handle Core::submit(Request ask, ResponseSink& sink, std::uint64_t cookie) {
-    // Danger: counted from now, the time would grow by as much as the process stood still since it was read.
-    const Micros now = clock_.now(), deadline = (ask.received_at > 0 ? ask.received_at : now) + ask.time_left;
-    routing::RequestReceived arrival;
-    arrival.class_index = ask.class_index;
-    arrival.object = ask.object;
-    arrival.time_left = deadline - now;
-    // The module is to give up at once what can't end before the process does, while another proxy can still
+Handle Core::submit(Request client_request, ResponseSink& sink, std::uint64_t cookie) {
+    // Counted from the time of receipt: a deadline counted from now would be too late by any stall of the
+    // process since then.
+    const Micros now = clock_.now(),
+                 deadline = (client_request.received_at > 0 ? client_request.received_at : now) +
+                            client_request.time_left;
+    routing::RequestReceived received;
+    received.class_index = client_request.class_index;
+    received.object = client_request.object;
+    received.time_left = deadline - now;
+    // The router rejects at once what can't finish before the process exits, while another proxy can still
     // answer it.
-    if (shutdown_deadline_ > 0) arrival.shutdown_in = shutdown_deadline_ - now;
-    arrival.size_kb = ask.size_kb;
-    arrival.purge_group = ask.purge_group;
-    arrival.part = ask.part;
-    arrival.write = settings_.classes[ask.class_index].uncacheable;
+    if (shutdown_deadline_ > 0) received.shutdown_in = shutdown_deadline_ - now;
+    received.size_kb = client_request.size_kb;
+    received.purge_group = client_request.purge_group;
+    received.part = client_request.part;
+    received.write = settings_.classes[client_request.class_index].uncacheable;
     OpenRequest request;
     request.deadline = deadline;
-    request.request = std::move(ask);
+    request.request = std::move(client_request);
     request.sink = &sink;
     request.cookie = cookie;
     ids_.insert(request.request.id);
     const Handle handle = requests_.add(std::move(request));
-    OpenRequest& taken = *requests_.find(handle);
-    taken.name = arrival.id = name_of(handle);
-    taken.guard = guard(handle, taken);
-    if (const auto come_back = gate_ ? gate_(taken.request) : std::nullopt) {
-        turned_away_.emplace_back(handle, *come_back);
+    OpenRequest& open_request = *requests_.find(handle);
+    open_request.name = received.id = format_handle(handle);
+    open_request.deadline_timer = schedule_deadline(handle, open_request);
+    if (const auto retry_after = admission_check_ ? admission_check_(open_request.request) : std::nullopt) {
+        rejected_.emplace_back(handle, *retry_after);
         return handle;
     }
-    events_.emplace_back(std::move(arrival));
+    events_.emplace_back(std::move(received));
     return handle;
 }
 
-// The core's own answer comes just before the client gives up, or at the last word where that is sooner.
-base::TimerQueue::Key Core::guard(Handle handle, const OpenRequest& request) {
-    Micros at = request.deadline - kGuard;
+// Schedules the core's own response: just before the client's deadline, or at the shutdown or response
+// deadline if that is earlier.
+base::TimerQueue::Key Core::schedule_deadline(Handle handle, const OpenRequest& request) {
+    Micros at = request.deadline - kResponseMargin;
     if (shutdown_deadline_ > 0) at = std::min(at, shutdown_deadline_);
     if (request.response_deadline) at = std::min(at, *request.response_deadline);
-    return deadlines_.schedule(at, [this, handle] { time_up(handle); });
+    return deadlines_.schedule(at, [this, handle] { on_deadline(handle); });
 }
 
-void Core::renew_guard(Handle handle, OpenRequest& request) {
-    deadlines_.cancel(request.guard);
-    request.guard = guard(handle, request);
+void Core::reschedule_deadline(Handle handle, OpenRequest& request) {
+    deadlines_.cancel(request.deadline_timer);
+    request.deadline_timer = schedule_deadline(handle, request);
 }
 
 void Core::set_response_deadline(Handle handle, std::optional<Micros> at) {
     OpenRequest* request = requests_.find(handle);
     if (!request) return;
     request->response_deadline = at;
-    renew_guard(handle, *request);
+    reschedule_deadline(handle, *request);
 }
 
 void Core::set_shutdown_deadline(Micros at) {
     shutdown_deadline_ = at;
-    std::vector<Handle> later;
+    std::vector<Handle> affected;
     requests_.for_each([&](Handle handle, const OpenRequest& request) {
-        if (request.deadline - kGuard > at) later.push_back(handle);
+        if (request.deadline - kResponseMargin > at) affected.push_back(handle);
     });
-    for (const Handle handle : later) renew_guard(handle, *requests_.find(handle));
+    for (const Handle handle : affected) reschedule_deadline(handle, *requests_.find(handle));
 }
 
 void Core::cancel(Handle handle) {
     const OpenRequest* request = requests_.find(handle);
     if (!request) return;
     events_.emplace_back(routing::ClientCancelled{request->name});
-    forget(handle);
+    remove_request(handle);
 }
 
-// Danger: what waits for a connection to come up would be written long after its request is over, for a
-// client that has gone. The module lets an attempt go on where others share its fill; one that has not begun
-// has no fill to share.
-std::optional<Core::OpenRequest> Core::forget(Handle handle) {
+// Attempts that are not written yet are cancelled: waiting for a connection, they would be sent long after
+// the request has ended, for a client that has left. The router lets an attempt continue if other requests
+// share its fill; an attempt that was not written has no fill to share.
+std::optional<Core::OpenRequest> Core::remove_request(Handle handle) {
     OpenRequest* found = requests_.find(handle);
     if (!found) return std::nullopt;
     OpenRequest request = std::move(*found);
-    deadlines_.cancel(request.guard);
+    deadlines_.cancel(request.deadline_timer);
     ids_.erase(request.request.id);
     requests_.remove(handle);
-    for (const Handle attempt : request.out) {
+    for (const Handle attempt : request.open_attempts) {
         if (!upstream_->not_started(attempt)) continue;
         upstream_->cancel(attempt);
         on_attempt_finished(attempt, AttemptResult{.status = AttemptStatus::not_sent});
@@ -139,8 +145,8 @@
     return request;
 }
 
-// The module answers before this falls due; this is for the case that it does not.
-void Core::time_up(Handle handle) {
+// The router normally decides before this timer expires; this covers the case that it does not.
+void Core::on_deadline(Handle handle) {
     OpenRequest* request = requests_.find(handle);
     if (!request) return;
     if (!request->response_deadline) {
@@ -152,73 +158,77 @@
     process_events();
 }
 
-void Core::finish(Handle handle, Response reply) {
-    const std::optional<OpenRequest> request = forget(handle);
+void Core::finish(Handle handle, Response response) {
+    const std::optional<OpenRequest> request = remove_request(handle);
     if (!request) return;
     log::debug("answered req={} id={} how={} attempts={} left_us={}", request->name, request->request.id,
-               static_cast<int>(reply.status), request->attempts, request->deadline - clock_.now());
-    ++metrics_.responses[static_cast<std::size_t>(reply.status)];
-    if (reply.status == ResponseStatus::served || reply.status == ResponseStatus::not_modified) {
-        const Micros took = clock_.now() - (request->deadline - request->request.time_left);
-        const auto place = std::bit_width(static_cast<std::uint64_t>(std::max<Micros>(0, took - 1)) / 1'000);
+               static_cast<int>(response.status), request->attempts, request->deadline - clock_.now());
+    ++metrics_.responses[static_cast<std::size_t>(response.status)];
+    if (response.status == ResponseStatus::served || response.status == ResponseStatus::not_modified) {
+        const Micros latency = clock_.now() - (request->deadline - request->request.time_left);
+        const auto bucket =
+            std::bit_width(static_cast<std::uint64_t>(std::max<Micros>(0, latency - 1)) / 1'000);
         ++metrics_.latency_histogram[std::min<std::size_t>(metrics_.latency_histogram.size() - 1,
-                                                           static_cast<std::size_t>(place))];
+                                                           static_cast<std::size_t>(bucket))];
     }
-    request->sink->on_response(request->cookie, std::move(reply));
+    request->sink->on_response(request->cookie, std::move(response));
 }
 
-void Core::on_attempt_finished(Handle handle, AttemptResult ending) {
+void Core::on_attempt_finished(Handle handle, AttemptResult result) {
     OpenAttempt* attempt = attempts_.find(handle);
     if (!attempt) return;
-    const Handle owner = attempt->request;
-    const Micros sent = attempt->sent;
-    OpenRequest* request = requests_.find(owner);
-    // Danger: one that joined a fill begun before a purge could be handed the purged copy. A box is bound by
-    // the age asked for; should one not be, what it sends is no answer and the request goes on.
-    const bool too_old =
-        ending.status == AttemptStatus::served && ending.cache_status == routing::CacheStatus::coalesced &&
-        ending.origin_date_ms > 0 && ending.origin_date_ms * 1000 + kDatedWithin < attempt->oldest;
+    const Handle request_handle = attempt->request;
+    const Micros sent_at = attempt->sent_at;
+    OpenRequest* request = requests_.find(request_handle);
+    // A request that joined a fill begun before a purge could get the purged copy. Endpoints have to respect
+    // the requested age; a response that does not is discarded, and the request continues.
+    const bool too_old = result.status == AttemptStatus::served &&
+                         result.cache_status == routing::CacheStatus::coalesced &&
+                         result.origin_date_ms > 0 &&
+                         result.origin_date_ms * 1000 + kOriginDateTolerance < attempt->oldest_acceptable;
     if (too_old) {
         thread_local log::RateLimitedLogger line;
         line.warn("{} let a request join a fill of too old a copy", attempt->target);
-        ending = AttemptResult{.status = AttemptStatus::not_found, .load = ending.load};
+        result = AttemptResult{.status = AttemptStatus::not_found, .load = result.load};
     }
-    const bool served = ending.status == AttemptStatus::served;
-    AttemptFinished outcome;
-    outcome.id = attempt->name;
-    outcome.attempt = attempt->number;
-    outcome.endpoint = attempt->target;
-    outcome.status = ending.status;
-    outcome.elapsed = clock_.now() - attempt->sent;
-    outcome.elapsed -= clock_.total_stall_time() - attempt->stalled_before;  // the server's time, not ours
-    outcome.request_finished = served || !request;
-    outcome.cache_status = ending.cache_status;
-    outcome.time_to_first_byte = ending.time_to_first_byte;
-    outcome.load = ending.load;
-    deadlines_.cancel(attempt->limit);
-    if (served && request && served_) served_(request->request, attempt->source, ending.cache_status);
-    const bool spoke = served || ending.status == AttemptStatus::overloaded ||
-                       ending.status == AttemptStatus::not_found || ending.status == AttemptStatus::error;
-    if (spoke && answered_) answered_(attempt->target);
+    const bool served = result.status == AttemptStatus::served;
+    AttemptFinished finished;
+    finished.id = attempt->name;
+    finished.attempt = attempt->number;
+    finished.endpoint = attempt->target;
+    finished.status = result.status;
+    finished.elapsed = clock_.now() - attempt->sent_at;
+    finished.elapsed -=
+        clock_.total_stall_time() - attempt->stall_time_when_sent;  // counts the server's time only
+    finished.request_finished = served || !request;
+    finished.cache_status = result.cache_status;
+    finished.time_to_first_byte = result.time_to_first_byte;
+    finished.load = result.load;
+    deadlines_.cancel(attempt->timeout_timer);
+    if (served && request && on_served_) on_served_(request->request, attempt->source, result.cache_status);
+    const bool responded = served || result.status == AttemptStatus::overloaded ||
+                           result.status == AttemptStatus::not_found || result.status == AttemptStatus::error;
+    if (responded && on_endpoint_response_) on_endpoint_response_(attempt->target);
     attempts_.remove(handle);
     log::debug(
         "ended req={} n={} at={} verdict={} note={} took_us={} first_us={} dated_ms={} held={:.0f} "
         "link={:.2f}",
-        outcome.id, outcome.attempt, outcome.endpoint, static_cast<int>(outcome.status),
-        static_cast<int>(outcome.cache_status), outcome.elapsed, outcome.time_to_first_byte,
-        ending.origin_date_ms, outcome.load.in_flight, outcome.load.ingress_utilization);
-    events_.emplace_back(std::move(outcome));
+        finished.id, finished.attempt, finished.endpoint, static_cast<int>(finished.status),
+        static_cast<int>(finished.cache_status), finished.elapsed, finished.time_to_first_byte,
+        result.origin_date_ms, finished.load.in_flight, finished.load.ingress_utilization);
+    events_.emplace_back(std::move(finished));
     if (!request) return;
-    std::erase(request->out, handle);
-    if (!proves_not_run(ending.status)) {
+    std::erase(request->open_attempts, handle);
+    if (!proves_not_run(result.status)) {
         request->may_have_run = true;
-        request->ran_since = request->ran_since > 0 ? std::min(request->ran_since, sent) : sent;
+        request->may_have_run_since =
+            request->may_have_run_since > 0 ? std::min(request->may_have_run_since, sent_at) : sent_at;
     }
     if (served) {
-        finish(owner,
-               Response{.status = ending.not_modified ? ResponseStatus::not_modified : ResponseStatus::served,
-                        .body = std::move(ending.body),
-                        .etag = std::move(ending.etag)});
+        finish(request_handle,
+               Response{.status = result.not_modified ? ResponseStatus::not_modified : ResponseStatus::served,
+                        .body = std::move(result.body),
+                        .etag = std::move(result.etag)});
     }
 }
 
@@ -227,186 +237,188 @@
 }
 
 void Core::process_events() {
-    if (running_) return;
-    running_ = true;
-    for (const auto& [handle, come_back] : std::exchange(turned_away_, {}))
-        finish(handle, Response{.status = ResponseStatus::rejected, .retry_after = come_back});
+    if (processing_) return;
+    processing_ = true;
+    for (const auto& [handle, retry_after] : std::exchange(rejected_, {}))
+        finish(handle, Response{.status = ResponseStatus::rejected, .retry_after = retry_after});
     while (!events_.empty()) {
         const routing::Event event = std::move(events_.front());
         events_.pop_front();
         handle(event);
     }
-    running_ = false;
+    processing_ = false;
 }
 
 void Core::handle(const routing::Event& event) {
     actions_.clear();
     try {
         const Micros now = clock_.now();
-        if (const Micros span =
+        if (const Micros stall =
                 clock_.total_stall_time() - std::exchange(reported_stall_, clock_.total_stall_time());
-            span > 0)
-            router_.handle(now, routing::ProcessStalled{span}, actions_);
+            stall > 0)
+            router_.handle(now, routing::ProcessStalled{stall}, actions_);
         router_.handle(now, event, actions_);
-    } catch (const std::exception& fault) {
-        // What it was about is answered by the core's own guard at its deadline.
-        log::error("the module failed on an event: {}", fault.what());
+    } catch (const std::exception& error) {
+        // The deadline timer responds to the request concerned.
+        log::error("core: event handling failed error={}", error.what());
     }
-    std::vector<routing::Action> todo;
-    todo.swap(actions_);
-    for (const routing::Action& action : todo) carry_out(action);
-    todo.swap(actions_);
+    std::vector<routing::Action> actions;
+    actions.swap(actions_);
+    for (const routing::Action& action : actions) execute(action);
+    actions.swap(actions_);
 }
 
-void Core::carry_out(const routing::Action& action) {
-    std::visit([this](const auto& a) { do_act(a); }, action);
+void Core::execute(const routing::Action& action) {
+    std::visit([this](const auto& a) { perform(a); }, action);
 }
 
-void Core::do_act(const routing::Lookup& a) {
-    routing::Forward serve;
-    serve.id = a.id;
-    serve.endpoint = serve.source = a.endpoint;
-    serve.timeout = a.timeout;
-    attempt(serve);
+void Core::perform(const routing::Lookup& a) {
+    routing::Forward forward;
+    forward.id = a.id;
+    forward.endpoint = forward.source = a.endpoint;
+    forward.timeout = a.timeout;
+    start_attempt(forward);
 }
 
-void Core::do_act(const routing::Forward& a) {
-    attempt(a);
+void Core::perform(const routing::Forward& a) {
+    start_attempt(a);
 }
 
 // NOLINTNEXTLINE(readability-function-size): not split yet
-void Core::attempt(const routing::Forward& serve) {
-    const Handle owner = named(serve.id);
-    OpenRequest* request = requests_.find(owner);
+void Core::start_attempt(const routing::Forward& forward) {
+    const Handle request_handle = parse_handle(forward.id);
+    OpenRequest* request = requests_.find(request_handle);
     const Micros now = clock_.now();
     OpenAttempt attempt;
-    attempt.request = owner;
-    attempt.name = serve.id;
-    attempt.target = serve.endpoint;
-    attempt.source = serve.source;
-    attempt.sent = now;
-    attempt.stalled_before = clock_.total_stall_time();
-    if (serve.max_age > 0) attempt.oldest = now - serve.max_age;
-    if (!request) {  // it ended while the module decided
-        AttemptFinished outcome;
-        outcome.id = serve.id;
-        outcome.endpoint = serve.endpoint;
-        outcome.status = AttemptStatus::not_sent;
-        outcome.request_finished = true;
-        events_.emplace_back(std::move(outcome));
+    attempt.request = request_handle;
+    attempt.name = forward.id;
+    attempt.target = forward.endpoint;
+    attempt.source = forward.source;
+    attempt.sent_at = now;
+    attempt.stall_time_when_sent = clock_.total_stall_time();
+    if (forward.max_age > 0) attempt.oldest_acceptable = now - forward.max_age;
+    if (!request) {  // it ended while the router decided
+        AttemptFinished finished;
+        finished.id = forward.id;
+        finished.endpoint = forward.endpoint;
+        finished.status = AttemptStatus::not_sent;
+        finished.request_finished = true;
+        events_.emplace_back(std::move(finished));
         return;
     }
     attempt.number = request->attempts++;
-    const Micros left = request->deadline - now;
-    const Micros limit = serve.timeout == 0 ? left : std::min(serve.timeout, left);
+    const Micros time_left = request->deadline - now;
+    const Micros timeout = forward.timeout == 0 ? time_left : std::min(forward.timeout, time_left);
     const Handle handle = attempts_.add(std::move(attempt));
-    // Danger: what must not run twice goes out again only if nothing may have run. The module keeps to that;
-    // this is the last look before the wire.
-    const bool once =
+    // A request that must not run twice is sent again only if no earlier attempt can have run. The router
+    // ensures that; this is the final check before sending.
+    const bool must_not_repeat =
         settings_.classes[request->request.class_index].retry_safety == RetrySafety::not_idempotent;
-    const Micros latest = begin_by(*request);
-    const bool forbidden = (once && (request->may_have_run || !request->out.empty())) ||
-                           (!settings_.hedging_allowed && !request->out.empty()) ||
-                           (latest > 0 && now >= latest);
+    const Micros must_start_by = idempotency_deadline(*request);
+    const bool forbidden = (must_not_repeat && (request->may_have_run || !request->open_attempts.empty())) ||
+                           (!settings_.hedging_allowed && !request->open_attempts.empty()) ||
+                           (must_start_by > 0 && now >= must_start_by);
     if (forbidden)
-        log::error("attempt {} of {} held back: it may run twice", request->attempts, request->request.id);
-    if (forbidden || limit <= 0 || request->attempts > settings_.max_attempts)
-        return on_attempt_finished(
-            handle, AttemptResult{.status = limit <= 0 ? AttemptStatus::timed_out : AttemptStatus::not_sent});
-    request->out.push_back(handle);
+        log::error("core: attempt withheld, it could run twice n={} id={}", request->attempts,
+                   request->request.id);
+    if (forbidden || timeout <= 0 || request->attempts > settings_.max_attempts)
+        return on_attempt_finished(handle, AttemptResult{.status = timeout <= 0 ? AttemptStatus::timed_out
+                                                                                : AttemptStatus::not_sent});
+    request->open_attempts.push_back(handle);
     ++metrics_.attempts;
     if (request->attempts == 1) {
         metrics_.dispatch_time_us +=
-            static_cast<std::uint64_t>(std::max<Micros>(0, request->request.time_left - left));
+            static_cast<std::uint64_t>(std::max<Micros>(0, request->request.time_left - time_left));
         ++metrics_.dispatched;
     }
-    attempts_.find(handle)->limit = deadlines_.schedule(now + limit, [this, handle] {
-        const bool is_short = upstream_->lacks_socket(handle);
+    attempts_.find(handle)->timeout_timer = deadlines_.schedule(now + timeout, [this, handle] {
+        const bool lacks_socket = upstream_->lacks_socket(handle);
         const bool written = upstream_->cancel(handle);
-        on_attempt_finished(handle, AttemptResult{.status = written    ? AttemptStatus::timed_out
-                                                            : is_short ? AttemptStatus::not_sent
-                                                                       : AttemptStatus::connect_failed});
+        on_attempt_finished(handle, AttemptResult{.status = written        ? AttemptStatus::timed_out
+                                                            : lacks_socket ? AttemptStatus::not_sent
+                                                                           : AttemptStatus::connect_failed});
         process_events();
     });
-    AttemptRequest sending;
-    sending.attempt = handle;
-    sending.target = serve.endpoint;
-    sending.source = serve.source == serve.endpoint ? std::string{} : serve.source;
-    sending.deadline = now + limit;
-    sending.max_age = serve.max_age;
-    if (const Micros most = oldest_ ? oldest_() : 0; most > 0) {
-        const Micros usual = serve.max_age > 0
-                                 ? serve.max_age
-                                 : settings_.classes[request->request.class_index].freshness_lifetime;
-        sending.max_age = usual > 0 ? std::min(usual, most) : most;
+    AttemptRequest attempt_request;
+    attempt_request.attempt = handle;
+    attempt_request.target = forward.endpoint;
+    attempt_request.source = forward.source == forward.endpoint ? std::string{} : forward.source;
+    attempt_request.deadline = now + timeout;
+    attempt_request.max_age = forward.max_age;
+    if (const Micros age_limit = max_copy_age_ ? max_copy_age_() : 0; age_limit > 0) {
+        const Micros requested_age = forward.max_age > 0
+                                         ? forward.max_age
+                                         : settings_.classes[request->request.class_index].freshness_lifetime;
+        attempt_request.max_age = requested_age > 0 ? std::min(requested_age, age_limit) : age_limit;
     }
-    sending.cache_priority = serve.cache_priority;
-    sending.coalesce = serve.coalesce;
-    sending.source_cached_only = serve.source_cached_only;
-    sending.parent_bypasses_cache = serve.parent_bypasses_cache;
-    sending.revalidate = serve.revalidate;
-    sending.start_deadline = latest;
-    sending.request = &request->request;
-    sending.avoid_connections = request->channels;
-    request->channels.push_back(upstream_->start(sending));
+    attempt_request.cache_priority = forward.cache_priority;
+    attempt_request.coalesce = forward.coalesce;
+    attempt_request.source_cached_only = forward.source_cached_only;
+    attempt_request.parent_bypasses_cache = forward.parent_bypasses_cache;
+    attempt_request.revalidate = forward.revalidate;
+    attempt_request.start_deadline = must_start_by;
+    attempt_request.request = &request->request;
+    attempt_request.avoid_connections = request->connections;
+    request->connections.push_back(upstream_->start(attempt_request));
     log::debug(
         "sent req={} n={} cls={} kb={:.0f} object={}/{} at={} via={} join={} holds={} rank={} age_us={} "
         "group={} limit_us={}",
-        serve.id, request->attempts - 1, request->request.class_name, request->request.size_kb,
-        request->request.object, request->request.part, sending.target, sending.source, sending.coalesce,
-        sending.source_cached_only, sending.cache_priority, sending.max_age, request->request.purge_group,
-        limit);
+        forward.id, request->attempts - 1, request->request.class_name, request->request.size_kb,
+        request->request.object, request->request.part, attempt_request.target, attempt_request.source,
+        attempt_request.coalesce, attempt_request.source_cached_only, attempt_request.cache_priority,
+        attempt_request.max_age, request->request.purge_group, timeout);
 }
 
-// Repeats of a keyed request are dropped for as long as the class says, from the first that may have run on.
-Micros Core::begin_by(const OpenRequest& request) {
-    const routing::ClassSettings& of = settings_.classes[request.request.class_index];
-    if (of.retry_safety != RetrySafety::with_idempotency_key) return 0;
-    Micros since = request.ran_since;
-    for (const Handle out : request.out) {
-        const OpenAttempt* attempt = attempts_.find(out);
-        if (attempt) since = since > 0 ? std::min(since, attempt->sent) : attempt->sent;
+// When the caches' deduplication of a request with an idempotency key ends: one idempotency window of its
+// class after the first attempt that may have run; 0: no limit.
+Micros Core::idempotency_deadline(const OpenRequest& request) {
+    const routing::ClassSettings& class_settings = settings_.classes[request.request.class_index];
+    if (class_settings.retry_safety != RetrySafety::with_idempotency_key) return 0;
+    Micros since = request.may_have_run_since;
+    for (const Handle handle : request.open_attempts) {
+        const OpenAttempt* attempt = attempts_.find(handle);
+        if (attempt) since = since > 0 ? std::min(since, attempt->sent_at) : attempt->sent_at;
     }
-    return since > 0 ? since + of.idempotency_window : 0;
+    return since > 0 ? since + class_settings.idempotency_window : 0;
 }
 
-void Core::do_act(const routing::SetTimer& a) {
+void Core::perform(const routing::SetTimer& a) {
     deadlines_.schedule(a.at, [this, token = a.token] {
         events_.emplace_back(routing::TimerExpired{token});
         process_events();
     });
 }
 
-void Core::do_act(const routing::Reject& a) {
-    finish(named(a.id), Response{.status = ResponseStatus::rejected, .retry_after = a.retry_after});
+void Core::perform(const routing::Reject& a) {
+    finish(parse_handle(a.id), Response{.status = ResponseStatus::rejected, .retry_after = a.retry_after});
 }
 
-void Core::do_act(const routing::Fail& a) {
-    const Handle handle = named(a.id);
+void Core::perform(const routing::Fail& a) {
+    const Handle handle = parse_handle(a.id);
     const OpenRequest* request = requests_.find(handle);
     const bool late = request && clock_.now() + 50'000 >= request->deadline;
     finish(handle, Response{.status = late ? ResponseStatus::deadline_exceeded : ResponseStatus::failed});
 }
 
-void Core::do_act(const routing::Cancel& a) {
-    // The request may be over already; its attempts are found by name.
-    const Handle owner = named(a.id);
-    std::vector<Handle> hit;
+void Core::perform(const routing::Cancel& a) {
+    // The request may have ended already, so its attempts are looked up by the id of the request.
+    const Handle request_handle = parse_handle(a.id);
+    std::vector<Handle> matching;
     attempts_.for_each([&](Handle handle, const OpenAttempt& attempt) {
-        if (attempt.request == owner && attempt.number == a.attempt) hit.push_back(handle);
+        if (attempt.request == request_handle && attempt.number == a.attempt) matching.push_back(handle);
     });
-    for (const Handle handle : hit) {
+    for (const Handle handle : matching) {
         const bool written = upstream_->cancel(handle);
         on_attempt_finished(
             handle, AttemptResult{.status = written ? AttemptStatus::cancelled : AttemptStatus::not_sent});
     }
 }
 
-void Core::do_act(const routing::CloseIdleConnections& a) {
+void Core::perform(const routing::CloseIdleConnections& a) {
     upstream_->close_idle_connections(a.endpoint);
 }
 
-void Core::do_act(const routing::LogMessage& a) {
+void Core::perform(const routing::LogMessage& a) {
     log::info("module: {}", a.text);
 }
 
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,5 +1,5 @@
-// Requests, attempts and outcomes. The core drives the decision module and sees to it that each request gets
-// exactly one final answer. It knows no wire: fronts hand it requests, upstream carries its attempts.
+// Requests, attempts and their results. The core drives the router and ensures that each request gets exactly
+// one response. It is independent of protocols: servers submit requests, Upstream carries attempts.
 #pragma once
 
 #include <array>
@@ -27,19 +27,19 @@
 using base::SlotMap;
 using base::TimerQueue;
 
-// What a client asks for.
+// A client's request.
 struct Request {
-    std::string id;  // the client's own name for the request, passed on unchanged
+    std::string id;  // the client's id of the request, passed on unchanged
     int class_index = 0;
     std::string class_name;
     std::string object;
     int part = 0;
     int purge_group = 0;
     double size_kb = 0;
-    Micros received_at = 0;   // when its last byte came; 0: just now
-    Micros time_left = 0;     // from then until the client gives up
-    std::string client_etag;  // the tag of a copy that the client holds
-    // The client's idempotency key, the same for all its tries of one operation; empty but in keyed classes.
+    Micros received_at = 0;   // when its last byte was received; 0: now
+    Micros time_left = 0;     // from received_at to the client's deadline
+    std::string client_etag;  // of the client's cached copy
+    // The same for all tries of one operation by the client; empty except in classes with idempotency keys.
     std::string idempotency_key;
     std::string body;
 };
@@ -50,29 +50,29 @@
     ResponseStatus status = ResponseStatus::failed;
     std::string body = {};
     std::string etag = {};
-    Micros retry_after = 0;  // refused: when to try again; 0: not said
+    Micros retry_after = 0;  // rejected: when to try again; 0: not specified
 };
 
-// A front's side of one request.
+// Receives the responses to requests that a server has submitted.
 class ResponseSink {
   public:
     virtual ~ResponseSink() = default;
-    // Called once, never from within take().
-    virtual void on_response(std::uint64_t cookie, Response reply) = 0;
+    // Called once for each request, never from within Core::submit().
+    virtual void on_response(std::uint64_t cookie, Response response) = 0;
 };
 
-// One attempt as upstream is to carry it.
+// One attempt, as passed to Upstream.
 struct AttemptRequest {
     Handle attempt;
-    std::string target, source;  // source empty: no fill
-    Micros deadline = 0;         // it will be waited for until then
+    std::string target, source;  // source: of a fill; empty: no fill
+    Micros deadline = 0;         // when the attempt times out
     Micros max_age = 0;
     int cache_priority = 0;
     bool coalesce = false, source_cached_only = false, parent_bypasses_cache = false, revalidate = false;
-    // Begun later than this it could run a second time; 0: there is no such moment.
+    // An attempt that starts later could run the request a second time; 0: no limit.
     Micros start_deadline = 0;
-    const Request* request = nullptr;              // good during the call only
-    std::vector<std::uint64_t> avoid_connections;  // channels that earlier attempts of the request used
+    const Request* request = nullptr;              // valid during the call only
+    std::vector<std::uint64_t> avoid_connections;  // used by earlier attempts of the request
 };
 
 struct AttemptResult {
@@ -80,32 +80,33 @@
     routing::CacheStatus cache_status = routing::CacheStatus::unknown;
     Micros time_to_first_byte = 0;
     routing::LoadReport load = {};
-    bool not_modified = false;  // the client's copy is the one
+    bool not_modified = false;  // the client's copy is current
     std::string body = {};
     std::string etag = {};
-    std::int64_t origin_date_ms = 0;  // Unix time at which the origin gave out this copy; 0: not told
+    std::int64_t origin_date_ms = 0;  // Unix time at which the origin sent this copy; 0: unknown
 };
 
-// What came of requests since the start.
+// Counters since the start of the process.
 struct Metrics {
-    std::uint64_t responses[5] = {};  // by Answered
+    std::uint64_t responses[5] = {};  // by ResponseStatus
     std::array<std::uint64_t, 16>
-        latency_histogram{};     // of those served: up to 2^i ms; the last one takes all that is longer
-    std::uint64_t attempts = 0;  // handed to upstream
+        latency_histogram{};     // of served requests: up to 2^i ms; the last one counts all longer ones
+    std::uint64_t attempts = 0;  // passed to Upstream
     std::uint64_t dispatch_time_us = 0,
-                  dispatched = 0;  // from taking a request to its first attempt, summed; of how many
+                  dispatched =
+                      0;  // sum of the times from submission to the first attempt; number of requests in it
 };
 
 class Upstream {
   public:
     virtual ~Upstream() = default;
-    // Never ends the attempt from within the call. Returns the channel that carries it.
-    virtual std::uint64_t start(const AttemptRequest& sending) = 0;
-    // Gives the attempt up. False: not a byte of it had been written, so it never ran.
+    // Never ends the attempt from within the call. Returns the number of the connection that carries it.
+    virtual std::uint64_t start(const AttemptRequest& attempt_request) = 0;
+    // Cancels the attempt. False: nothing of it had been written, so it did not run.
     virtual bool cancel(Handle attempt) = 0;
-    // Whether the attempt waits and not a byte of it has been written.
+    // Whether the attempt is open and nothing of it has been written.
     virtual bool not_started(Handle attempt) const = 0;
-    // Whether it waits for a socket that this process can't make: that is no failure of its target.
+    // Whether it waits for a socket that this process can't open, which is no failure of its target.
     virtual bool lacks_socket(Handle attempt) const { return static_cast<void>(attempt), false; }
     virtual void close_idle_connections(const std::string& target) = 0;
 };
@@ -115,40 +116,40 @@
     Core(const routing::Settings& settings, std::uint64_t seed, Clock& clock, TimerQueue& deadlines);
 
     void attach(Upstream& upstream) { upstream_ = &upstream; }
-    // Asked of each request taken: none, or when to come back, and it is refused at once, unseen by the
-    // module.
-    void set_admission_check(std::function<std::optional<Micros>(const Request&)> what) {
-        gate_ = std::move(what);
+    // `check` is called for each submitted request. If it returns a time to retry after, the request is
+    // rejected at once, without the router.
+    void set_admission_check(std::function<std::optional<Micros>(const Request&)> check) {
+        admission_check_ = std::move(check);
     }
-    // The oldest copy that will do at all, as an age; 0: any.
-    void set_max_copy_age(std::function<Micros()> age) { oldest_ = std::move(age); }
-    // Told of each attempt that was served, with the source that was named for a fill.
+    // The maximum age of a copy that is acceptable for any request; 0: unlimited.
+    void set_max_copy_age(std::function<Micros()> age) { max_copy_age_ = std::move(age); }
+    // `callback` is called for each served attempt, with the source that was given for a fill.
     void on_served(
-        std::function<void(const Request&, const std::string& source, routing::CacheStatus)> what) {
-        served_ = std::move(what);
+        std::function<void(const Request&, const std::string& source, routing::CacheStatus)> callback) {
+        on_served_ = std::move(callback);
     }
-    // Told of each target that answers an attempt, with whatever answer: its process runs.
-    void on_endpoint_response(std::function<void(const std::string& target)> what) {
-        answered_ = std::move(what);
+    // `callback` is called for each response of a target, whatever its status: its process is running.
+    void on_endpoint_response(std::function<void(const std::string& target)> callback) {
+        on_endpoint_response_ = std::move(callback);
     }
 
-    // Takes a request; its one answer goes to `asker`. The front calls run() when its turn is over.
-    Handle submit(Request ask, ResponseSink& sink, std::uint64_t cookie);
-    void cancel(Handle request);  // the client no longer waits: no answer is owed
-    void on_attempt_finished(Handle attempt, AttemptResult ending);
-    void notify(routing::Event event);  // news of the fleet and purges
-    void process_events();              // works off what has come in
+    // The one response goes to `sink`. The server calls process_events() once it has submitted its requests.
+    Handle submit(Request client_request, ResponseSink& sink, std::uint64_t cookie);
+    void cancel(Handle request);  // the client no longer waits: there is no response
+    void on_attempt_finished(Handle attempt, AttemptResult result);
+    void notify(routing::Event event);  // endpoint updates and purges
+    void process_events();              // handles all queued events
 
     std::size_t open_requests() const { return requests_.size(); }
     const Metrics& metrics() const { return metrics_; }
-    // The process is to be gone by `at`: what the module has not answered by then gets the core's own last
-    // word (out of time) at `at`, so that no client is left with a connection that dies unanswered. Requests
-    // taken from now on have until then and no longer: what can't end by `at` is refused at once.
+    // The process has to have exited by `at`. Requests that are still open then get deadline_exceeded at
+    // `at`, so that no client loses its connection without a response. Requests submitted from now on have to
+    // finish by `at` too; those that can't are rejected at once.
     void set_shutdown_deadline(Micros at);
-    // This request is to have its answer by `at` where nobody gave one before; nothing: by its own deadline.
+    // The request gets a response by `at` at the latest; nullopt: by its own deadline.
     void set_response_deadline(Handle request, std::optional<Micros> at);
-    // Danger: caches know a request by its client's id alone. Two open under one id would get each other's
-    // answers, so fronts turn the second away.
+    // Pop caches identify a request by its client's id alone. Two open requests with one id would get each
+    // other's responses, so servers reject the second.
     bool is_open(const std::string& id) const { return ids_.contains(id); }
     const routing::Settings& settings() const { return settings_; }
 
@@ -157,48 +158,48 @@
         Request request;
         ResponseSink* sink = nullptr;
         std::uint64_t cookie = 0;
-        std::string name;  // what the module calls it
+        std::string name;  // its id for the router
         Micros deadline = 0;
-        std::optional<Micros> response_deadline;  // sooner than the deadline
-        TimerQueue::Key guard;
-        std::vector<Handle> out;
+        std::optional<Micros> response_deadline;  // earlier than the deadline
+        TimerQueue::Key deadline_timer;
+        std::vector<Handle> open_attempts;
         int attempts = 0;
         bool may_have_run = false;
-        Micros ran_since = 0;  // the first attempt that may have run was sent then
-        std::vector<std::uint64_t> channels;
+        Micros may_have_run_since = 0;  // when the first attempt that may have run was sent
+        std::vector<std::uint64_t> connections;
     };
     struct OpenAttempt {
         Handle request;
         std::string name, target, source;
         int number = 0;
-        Micros sent = 0;
-        Micros stalled_before = 0;  // for how long the process had stood still in all when it was sent
-        Micros oldest = 0;          // a copy given out before this was not asked for; 0: any will do
-        TimerQueue::Key limit;
+        Micros sent_at = 0;
+        Micros stall_time_when_sent = 0;  // the clock's total_stall_time() when it was sent
+        Micros oldest_acceptable = 0;     // minimum origin date of a copy; 0: any
+        TimerQueue::Key timeout_timer;
     };
 
     void handle(const routing::Event& event);
-    void carry_out(const routing::Action& action);
-    void do_act(const routing::Lookup& a);
-    void do_act(const routing::Forward& a);
-    void do_act(const routing::SetTimer& a);
-    void do_act(const routing::Reject& a);
-    void do_act(const routing::Fail& a);
-    void do_act(const routing::Cancel& a);
-    void do_act(const routing::CloseIdleConnections& a);
-    void do_act(const routing::LogMessage& a);
-    void do_act(const routing::WatchEndpoints&) {}  // the change log is always followed
-    void do_act(const routing::PollEndpoints&) {}
-    void do_act(const routing::SendHealthCheck&) {}  // neither is permitted here
-    void do_act(const routing::SendGossip&) {}
-    void attempt(const routing::Forward& serve);
-    void finish(Handle request, Response reply);
-    void time_up(Handle request);
-    std::optional<OpenRequest> forget(Handle request);
-    Micros begin_by(const OpenRequest& request);
-    TimerQueue::Key guard(Handle handle, const OpenRequest& request);
-    void renew_guard(Handle handle, OpenRequest& request);
-    Handle named(std::string_view name) const;
+    void execute(const routing::Action& action);
+    void perform(const routing::Lookup& a);
+    void perform(const routing::Forward& a);
+    void perform(const routing::SetTimer& a);
+    void perform(const routing::Reject& a);
+    void perform(const routing::Fail& a);
+    void perform(const routing::Cancel& a);
+    void perform(const routing::CloseIdleConnections& a);
+    void perform(const routing::LogMessage& a);
+    void perform(const routing::WatchEndpoints&) {}  // the change log is always watched
+    void perform(const routing::PollEndpoints&) {}
+    void perform(const routing::SendHealthCheck&) {}  // neither is enabled here
+    void perform(const routing::SendGossip&) {}
+    void start_attempt(const routing::Forward& forward);
+    void finish(Handle request, Response response);
+    void on_deadline(Handle request);
+    std::optional<OpenRequest> remove_request(Handle request);
+    Micros idempotency_deadline(const OpenRequest& request);
+    TimerQueue::Key schedule_deadline(Handle handle, const OpenRequest& request);
+    void reschedule_deadline(Handle handle, OpenRequest& request);
+    Handle parse_handle(std::string_view name) const;
 
     routing::Settings settings_;
     routing::Router router_;
@@ -206,19 +207,20 @@
     TimerQueue& deadlines_;
     Upstream* upstream_ = nullptr;
     SlotMap<OpenRequest> requests_;
-    std::unordered_set<std::string> ids_;  // of the requests open, as clients name them
+    std::unordered_set<std::string> ids_;  // client ids of the open requests
     SlotMap<OpenAttempt> attempts_;
-    std::function<void(const std::string&)> answered_;
-    std::function<std::optional<Micros>(const Request&)> gate_;
-    std::function<void(const Request&, const std::string&, routing::CacheStatus)> served_;
-    std::function<Micros()> oldest_;
-    std::vector<std::pair<Handle, Micros>> turned_away_;  // by the gate, answered in the next run()
+    std::function<void(const std::string&)> on_endpoint_response_;
+    std::function<std::optional<Micros>(const Request&)> admission_check_;
+    std::function<void(const Request&, const std::string&, routing::CacheStatus)> on_served_;
+    std::function<Micros()> max_copy_age_;
+    std::vector<std::pair<Handle, Micros>>
+        rejected_;  // by the admission check, responded to in the next process_events()
     std::deque<routing::Event> events_;
     std::vector<routing::Action> actions_;
-    bool running_ = false;
+    bool processing_ = false;
     Metrics metrics_;
-    Micros shutdown_deadline_ = 0;  // 0: no end is near
-    Micros reported_stall_ = 0;     // of the clock's stalled(), what the module knows
+    Micros shutdown_deadline_ = 0;  // 0: none
+    Micros reported_stall_ = 0;     // the part of the clock's total_stall_time() that the router knows of
 };
 
 }  // namespace sumackeel::core
