--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr Micros kOriginDateTolerance =
-    2'000;  // `dated` and the requested age have a resolution of 1 ms on the wire
-constexpr Micros kResponseMargin =
-    4'000;  // the core responds by itself this long before the client's deadline
+// `dated` and the requested age have a resolution of 1 ms on the wire.
+constexpr Micros kOriginDateTolerance = 2'000;
+// The core responds by itself this long before the client's deadline.
+constexpr Micros kResponseMargin = 4'000;
 
 std::string format_handle(Handle handle) {
     return std::to_string(handle.slot) + '.' + std::to_string(handle.generation);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -89,12 +89,11 @@
 // Counters since the start of the process.
 struct Metrics {
     std::uint64_t responses[5] = {};  // by ResponseStatus
-    std::array<std::uint64_t, 16>
-        latency_histogram{};     // of served requests: up to 2^i ms; the last one counts all longer ones
+    // Of served requests: up to 2^i ms; the last one counts all longer ones.
+    std::array<std::uint64_t, 16> latency_histogram{};
     std::uint64_t attempts = 0;  // passed to Upstream
-    std::uint64_t dispatch_time_us = 0,
-                  dispatched =
-                      0;  // sum of the times from submission to the first attempt; number of requests in it
+    // The times from submission to the first attempt: their sum, and the number of requests in it.
+    std::uint64_t dispatch_time_us = 0, dispatched = 0;
 };
 
 class Upstream {
--- a/src/upstream/cache_protocol.h
+++ b/src/upstream/cache_protocol.h
@@ -1,4 +1,4 @@
-// The line protocol of pop caches, parents and the origin: requests to text, text to answers.
+// The line protocol of pop caches, parents and the origin: encodes requests and parses responses.
 #pragma once
 
 #include <stdexcept>
@@ -14,15 +14,15 @@
     using std::runtime_error::runtime_error;
 };
 
-// A request as it goes on the wire, but for the limit: that is what is left when it is written.
+// An encoded request, except its limit, which is the time left when it is written.
 class RequestEncoder {
   public:
-    explicit RequestEncoder(const core::AttemptRequest& sending);
+    explicit RequestEncoder(const core::AttemptRequest& attempt_request);
     std::string encode_at(base::Micros now) const;
     base::Micros deadline() const { return deadline_; }
 
   private:
-    std::string before_limit_, behind_limit_;
+    std::string before_limit_, after_limit_;
     base::Micros deadline_;
 };
 std::string encode_cancel(const std::string& id);
@@ -32,21 +32,23 @@
     core::AttemptResult result;
 };
 
-// Takes bytes as they come and gives whole answers. Throws LineError on what can't be an answer.
+// Parses responses incrementally. Throws ProtocolError on invalid input.
 class ResponseReader {
   public:
     void append(std::string_view bytes);
-    bool next(CacheResponse& answer);
-    bool partial() const { return in_body_ || at_ < buffer_.size(); }  // an answer has begun to come
+    bool next(CacheResponse& response);
+    bool has_partial_response() const {
+        return in_body_ || position_ < buffer_.size();
+    }  // the start of a response
 
   private:
-    bool read_head();
+    bool read_header();
 
     std::string buffer_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
     bool in_body_ = false;
-    std::size_t length_ = 0;
-    CacheResponse answer_;
+    std::size_t body_length_ = 0;
+    CacheResponse response_;
 };
 
 }  // namespace sumackeel::upstream
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -14,127 +14,130 @@
 
 namespace {
 
-// A spoilt answer, a reset or a lost one costs all that is open on its connection, so requests share one only
-// where no other can be had.
-constexpr std::size_t kMostChannels = 64;  // to one target
-// Where a connection has a price, a further one is opened only if it costs less than what it spares: each
-// request that shares one is lost with it. Danger: what one proxy opens for each attempt, a hundred open at
-// each box.
-constexpr double kSpoilt = 0.02;           // chance that a connection breaks or falls silent under a request
-constexpr int kForFirst = 16;              // descriptors left for targets without a connection
-constexpr int kForOthers = 8;              // never taken here: the change log must be reached
-constexpr Micros kFullFor = 2'000'000;     // a target that took no more connections is asked for one again
-constexpr Micros kStalled = 1'000'000;     // an answer that stopped in the middle for so long goes on no more
-constexpr Micros kSilence = 400'000;       // open attempts and not a byte for this long: trusted no more
-constexpr Micros kSuspectAfter = 200'000;  // given up after this long without a byte: the same
-constexpr Micros kIdleMargin = 1'000'000;  // idle channels close this long before the other side would
-constexpr Micros kSweep = 250'000;
-// Names of requests given up on one connection, whose answers may still come there. One with more of them
-// than this gets nothing new and closes once nothing is open on it.
-constexpr std::size_t kMostGivenUp = 256;
-
-constexpr Micros kTurnTooOld = 50'000;  // what came meanwhile is read before a request goes out
-constexpr Micros kLimitWithin = 1'000;  // a limit is written so soon after it was reckoned
-constexpr Micros kDialAgain = 20'000;   // a socket could not be made here
-
-// An error of connect that tells of this machine, not of the one called.
-bool is_own_shortage(int error) {
+// An invalid response or a reset loses all open attempts of its connection, so attempts share a connection
+// only if no other is available.
+constexpr std::size_t kMaxConnectionsPerTarget = 64;
+// If connections have a price, another one is opened only if it costs less than the requests that would be
+// lost with a shared connection. A connection that one proxy opens for each attempt is opened by a hundred
+// proxies at each endpoint.
+constexpr double kConnectionLossProbability =
+    0.02;  // that a connection breaks or stops responding during a request
+constexpr int kReservedForFirstConnections = 16;  // descriptors kept for targets without a connection
+constexpr int kReservedForOthers = 8;  // descriptors never used here: the change log has to be reachable
+constexpr Micros kConnectBackoff = 2'000'000;    // after a target refused a further connection
+constexpr Micros kMaxResponseStall = 1'000'000;  // in the middle of a response, which is then considered lost
+constexpr Micros kUnresponsiveAfter = 400'000;   // without a byte while attempts are open
+constexpr Micros kSuspectAfterSilence = 200'000;  // an attempt was cancelled after so long without a byte
+constexpr Micros kIdleMargin =
+    1'000'000;  // idle connections close this long before the other side would close them
+constexpr Micros kSweepInterval = 250'000;
+// Ids of cancelled requests on one connection, whose responses may still arrive there. A connection with more
+// of them gets no new attempts and closes once nothing is open on it.
+constexpr std::size_t kMaxCancelledIds = 256;
+
+constexpr Micros kMaxIterationAge = 50'000;  // in an older one input is read first, then requests are written
+constexpr Micros kMaxEncodeTime = 1'000;     // between computing a limit and writing it
+constexpr Micros kConnectRetryInterval = 20'000;  // after a local lack of sockets
+
+// Whether a connect error is caused by this machine, not by the target.
+bool is_local_shortage(int error) {
     return error != 0 && (base::is_transient(error) || error == UV_EADDRNOTAVAIL);
 }
 
 }  // namespace
 
-struct ConnectionPool::Channel : net::Stream::Handler {
+struct ConnectionPool::Connection : net::Stream::Handler {
     ConnectionPool& pool;
     std::uint64_t number;
     std::string target;
     net::Stream* stream = nullptr;
-    bool up = false;
-    bool lost = false;     // its connection has gone, or could not come up
-    bool suspect = false;  // an attempt ran out of time here without a byte in the meanwhile
-    struct Waiting {
+    bool connected = false;
+    bool disconnected = false;  // closed by the other side, or could not be established
+    bool suspect = false;       // an attempt timed out here and no byte has been received since
+    struct QueuedRequest {
         std::string id;
         RequestEncoder request;
-        Micros begin_by;       // 0: no such moment
-        bool put_off = false;  // once already, until what came meanwhile is read
+        Micros start_deadline;  // 0: none
+        bool deferred = false;  // already once, to read input first
     };
-    enum class Begin { written, too_late, put_off };
-    // To be written once it is up and all before it has left here. Danger: what lay in a queue as text would
-    // tell a limit from before the wait.
-    std::vector<Waiting> waiting;
-    std::unordered_map<std::string, Open> open;
-    std::unordered_set<std::string> given_up;  // written here, stopped, and not answered since
+    enum class WriteResult { written, too_late, deferred };
+    // Written once the connection is up and all earlier bytes are sent. Requests are encoded only then, since
+    // the limit in an encoded request would not account for the wait.
+    std::vector<QueuedRequest> queued;
+    std::unordered_map<std::string, OpenAttempt> open_attempts;
+    std::unordered_set<std::string> cancelled_ids;  // written, cancelled, and without a response so far
     ResponseReader reader;
-    Micros last_byte_at = 0;  // last byte that came, or the first sent after a pause
-    Micros used = 0;
-    base::TimerQueue::Key connect_by;
+    Micros last_byte_at = 0;  // last byte received, or the first one sent after an idle time
+    Micros last_used_at = 0;
+    base::TimerQueue::Key connect_timer;
 
-    Channel(ConnectionPool& owner, std::uint64_t n, std::string to)
+    Connection(ConnectionPool& owner, std::uint64_t n, std::string to)
         : pool(owner), number(n), target(std::move(to)) {}
 
     void on_open(net::Stream&) override {
-        pool.loop_.timers().cancel(connect_by);
+        pool.loop_.timers().cancel(connect_timer);
         pool.opened_.push_back(number);
     }
 
-    bool can_write() const { return up && stream->unsent_bytes() == 0; }
+    bool can_write() const { return connected && stream->unsent_bytes() == 0; }
 
-    void begin() {
-        up = true;
+    void on_ready() {
+        connected = true;
         last_byte_at = pool.loop_.clock().now();
-        write_waiting();
+        write_queued();
     }
 
     void on_write_drained(net::Stream&) override {
-        if (can_write()) write_waiting();
+        if (can_write()) write_queued();
     }
 
-    void write_waiting() {
-        std::vector<Waiting> todo = std::exchange(waiting, {});
-        for (Waiting& one : todo) {
+    void write_queued() {
+        std::vector<QueuedRequest> pending = std::exchange(queued, {});
+        for (QueuedRequest& entry : pending) {
             if (!can_write()) {
-                waiting.push_back(std::move(one));
+                queued.push_back(std::move(entry));
                 continue;
             }
-            const Begin how = write(one);
-            if (how == Begin::put_off) {
-                put_off(std::move(one));
+            const WriteResult result = write(entry);
+            if (result == WriteResult::deferred) {
+                defer(std::move(entry));
                 continue;
             }
-            if (how != Begin::too_late) continue;
-            const Handle late = open.at(one.id).attempt;
-            open.erase(one.id);
-            pool.carried_.erase(late.number());
-            pool.core_.on_attempt_finished(late,
+            if (result != WriteResult::too_late) continue;
+            const Handle attempt = open_attempts.at(entry.id).attempt;
+            open_attempts.erase(entry.id);
+            pool.locations_.erase(attempt.number());
+            pool.core_.on_attempt_finished(attempt,
                                            core::AttemptResult{.status = AttemptStatus::connect_failed});
         }
     }
 
-    // Danger: the process may be stopped at any moment. Behind that the limit in a text is too long, and the
-    // client may have left: that is read before anything goes out.
-    Begin write(const Waiting& one) {
+    // The process may be stalled at any moment. After a stall the limit in an encoded request is too long,
+    // and the client may have left, so input is read before anything is written.
+    WriteResult write(const QueuedRequest& entry) {
         for (;;) {
             const Micros now = pool.loop_.clock().now();
-            if (now >= one.request.deadline() || (one.begin_by > 0 && now >= one.begin_by))
-                return Begin::too_late;
-            if (!one.put_off && pool.loop_.iteration_age() > kTurnTooOld) return Begin::put_off;
-            const std::string text = one.request.encode_at(now);
-            if (pool.loop_.clock().now() - now > kLimitWithin) continue;
-            Open& begun = open.at(one.id);
-            begun.begun = true;
-            begun.sent = now;
+            if (now >= entry.request.deadline() || (entry.start_deadline > 0 && now >= entry.start_deadline))
+                return WriteResult::too_late;
+            if (!entry.deferred && pool.loop_.iteration_age() > kMaxIterationAge)
+                return WriteResult::deferred;
+            const std::string text = entry.request.encode_at(now);
+            if (pool.loop_.clock().now() - now > kMaxEncodeTime) continue;
+            OpenAttempt& attempt = open_attempts.at(entry.id);
+            attempt.written = true;
+            attempt.sent_at = now;
             stream->write_immediately(text);
-            return Begin::written;
+            return WriteResult::written;
         }
     }
 
-    // Until the next turn of the loop, which reads before it does what is due.
-    void put_off(Waiting one) {
-        one.put_off = true;
-        waiting.push_back(std::move(one));
+    // Until the next iteration of the loop, which reads input before it runs timers.
+    void defer(QueuedRequest entry) {
+        entry.deferred = true;
+        queued.push_back(std::move(entry));
         pool.loop_.timers().schedule(pool.loop_.clock().now(), [&pool = pool, number = number] {
-            const auto found = pool.channels_.find(number);
-            if (found != pool.channels_.end() && found->second->can_write()) found->second->write_waiting();
+            const auto found = pool.connections_.find(number);
+            if (found != pool.connections_.end() && found->second->can_write()) found->second->write_queued();
         });
     }
 
@@ -142,32 +145,32 @@
         last_byte_at = pool.loop_.clock().now();
         suspect = false;
         reader.append(bytes);
-        CacheResponse answer;
-        while (reader.next(answer)) {
-            const auto found = open.find(answer.id);
-            if (found == open.end()) {  // given up already
-                given_up.erase(answer.id);
+        CacheResponse response;
+        while (reader.next(response)) {
+            const auto found = open_attempts.find(response.id);
+            if (found == open_attempts.end()) {  // cancelled
+                cancelled_ids.erase(response.id);
                 continue;
             }
             const Handle attempt = found->second.attempt;
-            open.erase(found);
-            used = last_byte_at;
-            pool.carried_.erase(attempt.number());
-            pool.core_.on_attempt_finished(attempt, std::move(answer.result));
+            open_attempts.erase(found);
+            last_used_at = last_byte_at;
+            pool.locations_.erase(attempt.number());
+            pool.core_.on_attempt_finished(attempt, std::move(response.result));
         }
     }
 
-    void on_close(net::Stream&, net::DisconnectCause how) override {
+    void on_close(net::Stream&, net::DisconnectCause cause) override {
         stream = nullptr;
-        lost = true;
-        if (how == net::DisconnectCause::connect_failed) {
-            log::debug("{} refused a connection", target);
+        disconnected = true;
+        if (cause == net::DisconnectCause::connect_failed) {
+            log::debug("upstream: connection refused at={}", target);
             Target& to = pool.targets_[target];
-            const bool others =
-                std::any_of(to.channels.begin(), to.channels.end(), [](const auto& c) { return c->up; });
-            if (others) to.full_until = pool.loop_.clock().now() + kFullFor;
+            const bool others = std::any_of(to.connections.begin(), to.connections.end(),
+                                            [](const auto& c) { return c->connected; });
+            if (others) to.backoff_until = pool.loop_.clock().now() + kConnectBackoff;
         }
-        pool.drop(*this, up);
+        pool.close(*this, connected);
     }
 };
 
@@ -175,23 +178,24 @@
     : loop_(loop), budget_(budget), core_(core), limits_(limits) {
     sweep();
     loop_.on_each_iteration([this] {
-        begin_opened();
-        dead_.clear();
+        start_opened();
+        closed_.clear();
     });
 }
 
-// Danger: in the turn in which a connection came up a client whose request waits for it may have left, and
-// that is read behind it. So nothing goes out before all that had come by then is known.
-void ConnectionPool::begin_opened() {
+// In the iteration in which a connection is established, a client whose request waits for it may have left,
+// which may be read after that event. So requests are written at the end of the iteration, when all input is
+// known.
+void ConnectionPool::start_opened() {
     for (const std::uint64_t number : std::exchange(opened_, {})) {
-        const auto found = channels_.find(number);
-        if (found != channels_.end()) found->second->begin();
+        const auto found = connections_.find(number);
+        if (found != connections_.end()) found->second->on_ready();
     }
 }
 
 ConnectionPool::~ConnectionPool() {
-    for (auto& [number, channel] : channels_)
-        if (channel->stream) channel->stream->close();
+    for (auto& [number, connection] : connections_)
+        if (connection->stream) connection->stream->close();
 }
 
 void ConnectionPool::set_address(const std::string& name, const std::string& address) {
@@ -199,10 +203,10 @@
     target.retired = false;
     if (target.address == address) return;
     target.address = address;
-    // Connections to the old place belong to another machine.
-    std::vector<Channel*> old;
-    for (const auto& channel : target.channels) old.push_back(channel.get());
-    for (Channel* channel : old) drop(*channel, channel->up);
+    // Connections to the previous address lead to another machine.
+    std::vector<Connection*> outdated;
+    for (const auto& connection : target.connections) outdated.push_back(connection.get());
+    for (Connection* connection : outdated) close(*connection, connection->connected);
 }
 
 void ConnectionPool::retire(const std::string& name) {
@@ -215,232 +219,245 @@
         if (std::find(names.begin(), names.end(), name) == names.end()) target.retired = true;
 }
 
-bool ConnectionPool::silent(const Channel& channel) const {
-    if (channel.suspect || channel.given_up.size() >= kMostGivenUp) return true;
-    // What is written to it does not even leave here: a request would begin who knows when.
-    if (channel.up && channel.stream->unsent_bytes() > 0) return true;
-    if (!channel.up || channel.open.empty()) return false;
-    return loop_.clock().now() - channel.last_byte_at > kSilence;
+bool ConnectionPool::is_unresponsive(const Connection& connection) const {
+    if (connection.suspect || connection.cancelled_ids.size() >= kMaxCancelledIds) return true;
+    // Earlier bytes are still unsent, so a request would start at an unknown time.
+    if (connection.connected && connection.stream->unsent_bytes() > 0) return true;
+    if (!connection.connected || connection.open_attempts.empty()) return false;
+    return loop_.clock().now() - connection.last_byte_at > kUnresponsiveAfter;
 }
 
-// The least loaded channel that works and that the request has not used before: the name of a request stands
-// for one attempt on a channel, also after a STOP. A silent one only where no other can be had.
-ConnectionPool::Channel* ConnectionPool::pick(Target& target, const core::AttemptRequest& sending) {
-    Channel* best = nullptr;
-    // Of those alike the one heard last: what has long been idle is the likelier to be gone.
-    const auto rank = [this](const Channel& c) {
-        return std::tuple(silent(c), c.open.size(), !c.up, -c.last_byte_at);
+// Selects the least loaded responsive connection that the request has not used before: on one connection the
+// id of a request identifies one attempt, also after a STOP. An unresponsive one is used only if no other is
+// available.
+ConnectionPool::Connection* ConnectionPool::select(Target& target,
+                                                   const core::AttemptRequest& attempt_request) {
+    Connection* best = nullptr;
+    // Among equals the one that received bytes last: one that was idle for long is more likely to be broken.
+    const auto rank = [this](const Connection& c) {
+        return std::tuple(is_unresponsive(c), c.open_attempts.size(), !c.connected, -c.last_byte_at);
     };
-    for (const auto& channel : target.channels) {
-        if (channel->open.size() >= static_cast<std::size_t>(limits_.streams_per_conn)) continue;
-        const auto& avoid = sending.avoid_connections;
-        if (std::find(avoid.begin(), avoid.end(), channel->number) != avoid.end()) continue;
-        // Danger: under a name that was used here before, by whichever client, the answer to that one may
-        // come.
-        if (channel->open.contains(sending.request->id) || channel->given_up.contains(sending.request->id))
+    for (const auto& connection : target.connections) {
+        if (connection->open_attempts.size() >= static_cast<std::size_t>(limits_.streams_per_conn)) continue;
+        const auto& avoid = attempt_request.avoid_connections;
+        if (std::find(avoid.begin(), avoid.end(), connection->number) != avoid.end()) continue;
+        // If the id was used on this connection before, by any client, the response to that attempt may still
+        // arrive.
+        if (connection->open_attempts.contains(attempt_request.request->id) ||
+            connection->cancelled_ids.contains(attempt_request.request->id))
             continue;
-        // Half a line that nobody asked for: the rest of it would be read as the head of the next answer.
-        if (channel->open.empty() && channel->reader.partial()) continue;
-        if (!best || rank(*channel) < rank(*best)) best = channel.get();
+        // The rest of an unrequested partial line would be parsed as the header of the next response.
+        if (connection->open_attempts.empty() && connection->reader.has_partial_response()) continue;
+        if (!best || rank(*connection) < rank(*best)) best = connection.get();
     }
-    const bool trusted = best && !silent(*best);
-    if (trusted &&
-        (best->open.empty() || static_cast<double>(best->open.size()) * kSpoilt < limits_.handshake_price))
+    const bool is_responsive = best && !is_unresponsive(*best);
+    if (is_responsive && (best->open_attempts.empty() ||
+                          static_cast<double>(best->open_attempts.size()) * kConnectionLossProbability <
+                              limits_.handshake_price))
         return best;
-    const bool may_dial =
-        target.channels.size() < kMostChannels && (!trusted || loop_.clock().now() >= target.full_until);
-    const int leave = trusted ? kForFirst + kForOthers : kForOthers;
-    if (!may_dial || (budget_.available() <= leave && !make_room(best))) return best;
-    Channel* fresh = dial(sending.target, target);
-    return fresh ? fresh : best;
+    const bool may_connect = target.connections.size() < kMaxConnectionsPerTarget &&
+                             (!is_responsive || loop_.clock().now() >= target.backoff_until);
+    const int reserve =
+        is_responsive ? kReservedForFirstConnections + kReservedForOthers : kReservedForOthers;
+    if (!may_connect || (budget_.available() <= reserve && !make_room(best))) return best;
+    Connection* new_connection = open_connection(attempt_request.target, target);
+    return new_connection ? new_connection : best;
 }
 
-// Closes the connection that has been idle the longest, whoever it leads to, but not `keep`.
-bool ConnectionPool::make_room(const Channel* keep) {
-    Channel* idle = nullptr;
-    for (const auto& [number, channel] : channels_)
-        if (channel != keep && channel->up && channel->open.empty() && (!idle || channel->used < idle->used))
-            idle = channel;
-    if (idle) drop(*idle, true);
+// Closes the connection of any target that has been idle longest, but not `keep`.
+bool ConnectionPool::make_room(const Connection* keep) {
+    Connection* idle = nullptr;
+    for (const auto& [number, connection] : connections_)
+        if (connection != keep && connection->connected && connection->open_attempts.empty() &&
+            (!idle || connection->last_used_at < idle->last_used_at))
+            idle = connection;
+    if (idle) close(*idle, true);
     return idle != nullptr;
 }
 
-ConnectionPool::Channel* ConnectionPool::dial(const std::string& name, Target& target) {
+ConnectionPool::Connection* ConnectionPool::open_connection(const std::string& name, Target& target) {
     sockaddr_in address{};
     if (!net::parse_address(target.address, address)) return nullptr;
-    auto channel = std::make_unique<Channel>(*this, next_channel_++, name);
-    int why = 0;
-    channel->stream = net::Stream::connect(loop_, budget_, address, *channel, &why);
-    if (!channel->stream && !is_own_shortage(why)) return nullptr;
-    log::debug("dialled at={} open={}", name, target.channels.size());
-    Channel* raw = channel.get();
-    raw->used = loop_.clock().now();
-    if (!raw->stream) dial_later(raw->number);
-    raw->connect_by =
-        loop_.timers().schedule(raw->used + limits_.connect_timeout, [this, number = raw->number] {
-            const auto found = channels_.find(number);
-            if (found == channels_.end() || found->second->up) return;
-            drop(*found->second, false);
+    auto connection = std::make_unique<Connection>(*this, next_number_++, name);
+    int error = 0;
+    connection->stream = net::Stream::connect(loop_, budget_, address, *connection, &error);
+    if (!connection->stream && !is_local_shortage(error)) return nullptr;
+    log::debug("dialled at={} open={}", name, target.connections.size());
+    Connection* raw = connection.get();
+    raw->last_used_at = loop_.clock().now();
+    if (!raw->stream) retry_connect(raw->number);
+    raw->connect_timer =
+        loop_.timers().schedule(raw->last_used_at + limits_.connect_timeout, [this, number = raw->number] {
+            const auto found = connections_.find(number);
+            if (found == connections_.end() || found->second->connected) return;
+            close(*found->second, false);
             core_.process_events();
         });
-    channels_[raw->number] = raw;
-    target.channels.push_back(std::move(channel));
+    connections_[raw->number] = raw;
+    target.connections.push_back(std::move(connection));
     return raw;
 }
 
-// What waits for the connection goes on waiting; no pop cache has failed by it.
-void ConnectionPool::dial_later(std::uint64_t number) {
-    loop_.timers().schedule(loop_.clock().now() + kDialAgain, [this, number] {
-        const auto found = channels_.find(number);
-        if (found == channels_.end()) return;
-        Channel& channel = *found->second;
+// Requests stay queued for the connection; the failure is local and does not count against the pop cache.
+void ConnectionPool::retry_connect(std::uint64_t number) {
+    loop_.timers().schedule(loop_.clock().now() + kConnectRetryInterval, [this, number] {
+        const auto found = connections_.find(number);
+        if (found == connections_.end()) return;
+        Connection& connection = *found->second;
         sockaddr_in address{};
-        int why = 0;
-        if (net::parse_address(targets_[channel.target].address, address))
-            channel.stream = net::Stream::connect(loop_, budget_, address, channel, &why);
-        if (channel.stream) return;
-        if (is_own_shortage(why)) return dial_later(number);
-        channel.lost = why != 0;
-        drop(channel, false);
+        int error = 0;
+        if (net::parse_address(targets_[connection.target].address, address))
+            connection.stream = net::Stream::connect(loop_, budget_, address, connection, &error);
+        if (connection.stream) return;
+        if (is_local_shortage(error)) return retry_connect(number);
+        connection.disconnected = error != 0;
+        close(connection, false);
         core_.process_events();
     });
 }
 
-std::uint64_t ConnectionPool::start(const core::AttemptRequest& sending) {
-    const auto place = targets_.find(sending.target);
-    Channel* channel = place == targets_.end() ? nullptr : pick(place->second, sending);
-    const Handle attempt = sending.attempt;
-    if (!channel) {
-        log::debug("no connection can be opened to {}", sending.target);
+std::uint64_t ConnectionPool::start(const core::AttemptRequest& attempt_request) {
+    const auto found = targets_.find(attempt_request.target);
+    Connection* connection = found == targets_.end() ? nullptr : select(found->second, attempt_request);
+    const Handle attempt = attempt_request.attempt;
+    if (!connection) {
+        log::debug("upstream: no connection available at={}", attempt_request.target);
         loop_.timers().schedule(loop_.clock().now(),
-                                [this, attempt] { end(attempt, AttemptStatus::connect_failed); });
+                                [this, attempt] { finish(attempt, AttemptStatus::connect_failed); });
         return 0;
     }
     const Micros now = loop_.clock().now();
-    const std::string& id = sending.request->id;
-    if (channel->open.empty()) channel->last_byte_at = now;
-    channel->open[id] = {attempt, now};
-    channel->used = now;
-    carried_[attempt.number()] = {channel->number, id};
-    Channel::Waiting waiting{id, RequestEncoder(sending), sending.start_deadline};
-    if (!channel->can_write()) {
-        channel->waiting.push_back(std::move(waiting));
-        return channel->number;
+    const std::string& id = attempt_request.request->id;
+    if (connection->open_attempts.empty()) connection->last_byte_at = now;
+    connection->open_attempts[id] = {attempt, now};
+    connection->last_used_at = now;
+    locations_[attempt.number()] = {connection->number, id};
+    Connection::QueuedRequest queued{id, RequestEncoder(attempt_request), attempt_request.start_deadline};
+    if (!connection->can_write()) {
+        connection->queued.push_back(std::move(queued));
+        return connection->number;
     }
-    switch (channel->write(waiting)) {
-        case Channel::Begin::written:
+    switch (connection->write(queued)) {
+        case Connection::WriteResult::written:
             break;
-        case Channel::Begin::put_off:
-            channel->put_off(std::move(waiting));
+        case Connection::WriteResult::deferred:
+            connection->defer(std::move(queued));
             break;
-        case Channel::Begin::too_late:
-            loop_.timers().schedule(now, [this, attempt] { end_unbegun(attempt); });
+        case Connection::WriteResult::too_late:
+            loop_.timers().schedule(now, [this, attempt] { finish_unwritten(attempt); });
             break;
     }
-    return channel->number;
+    return connection->number;
 }
 
-void ConnectionPool::end_unbegun(Handle attempt) {
-    const auto found = carried_.find(attempt.number());
-    if (found == carried_.end()) return;  // given up meanwhile
-    const auto channel = channels_.find(found->second.channel);
-    if (channel != channels_.end()) channel->second->open.erase(found->second.id);
-    end(attempt, AttemptStatus::connect_failed);
+void ConnectionPool::finish_unwritten(Handle attempt) {
+    const auto found = locations_.find(attempt.number());
+    if (found == locations_.end()) return;  // cancelled meanwhile
+    const auto connection = connections_.find(found->second.connection);
+    if (connection != connections_.end()) connection->second->open_attempts.erase(found->second.id);
+    finish(attempt, AttemptStatus::connect_failed);
 }
 
 bool ConnectionPool::cancel(Handle attempt) {
-    const auto found = carried_.find(attempt.number());
-    if (found == carried_.end()) return true;
-    const Where where = found->second;
-    carried_.erase(found);
-    const auto at = channels_.find(where.channel);
-    if (at == channels_.end()) return true;
-    Channel& channel = *at->second;
-    const Open one = channel.open[where.id];
-    channel.open.erase(where.id);
-    if (!one.begun) {
-        std::erase_if(channel.waiting, [&](const auto& other) { return other.id == where.id; });
+    const auto found = locations_.find(attempt.number());
+    if (found == locations_.end()) return true;
+    const Location location = found->second;
+    locations_.erase(found);
+    const auto connection_found = connections_.find(location.connection);
+    if (connection_found == connections_.end()) return true;
+    Connection& connection = *connection_found->second;
+    const OpenAttempt entry = connection.open_attempts[location.id];
+    connection.open_attempts.erase(location.id);
+    if (!entry.written) {
+        std::erase_if(connection.queued, [&](const auto& other) { return other.id == location.id; });
         return false;
     }
-    if (loop_.clock().now() - std::max(channel.last_byte_at, one.sent) > kSuspectAfter)
-        channel.suspect = true;
-    channel.stream->write(encode_cancel(where.id));
-    if (channel.given_up.size() < kMostGivenUp) channel.given_up.insert(where.id);
+    if (loop_.clock().now() - std::max(connection.last_byte_at, entry.sent_at) > kSuspectAfterSilence)
+        connection.suspect = true;
+    connection.stream->write(encode_cancel(location.id));
+    if (connection.cancelled_ids.size() < kMaxCancelledIds) connection.cancelled_ids.insert(location.id);
     return true;
 }
 
 bool ConnectionPool::not_started(Handle attempt) const {
-    const auto found = carried_.find(attempt.number());
-    const auto at = found == carried_.end() ? channels_.end() : channels_.find(found->second.channel);
-    return at != channels_.end() && !at->second->open.at(found->second.id).begun;
+    const auto found = locations_.find(attempt.number());
+    const auto connection =
+        found == locations_.end() ? connections_.end() : connections_.find(found->second.connection);
+    return connection != connections_.end() &&
+           !connection->second->open_attempts.at(found->second.id).written;
 }
 
 bool ConnectionPool::lacks_socket(Handle attempt) const {
-    const auto found = carried_.find(attempt.number());
-    const auto at = found == carried_.end() ? channels_.end() : channels_.find(found->second.channel);
-    return at != channels_.end() && !at->second->stream && !at->second->lost;
+    const auto found = locations_.find(attempt.number());
+    const auto connection =
+        found == locations_.end() ? connections_.end() : connections_.find(found->second.connection);
+    return connection != connections_.end() && !connection->second->stream &&
+           !connection->second->disconnected;
 }
 
-void ConnectionPool::end(Handle attempt, AttemptStatus verdict) {
-    carried_.erase(attempt.number());
-    core_.on_attempt_finished(attempt, core::AttemptResult{.status = verdict});
+void ConnectionPool::finish(Handle attempt, AttemptStatus status) {
+    locations_.erase(attempt.number());
+    core_.on_attempt_finished(attempt, core::AttemptResult{.status = status});
     core_.process_events();
 }
 
-// All that was open on the channel is over: it may have run if the channel had come up.
-void ConnectionPool::drop(Channel& channel, bool came_up) {
-    if (!channels_.erase(channel.number)) return;
-    loop_.timers().cancel(channel.connect_by);
-    const bool ever_dialled = channel.stream || channel.lost;
-    if (channel.stream) channel.stream->close();
-    channel.stream = nullptr;
-    const AttemptStatus unbegun = came_up || ever_dialled
-                                      ? AttemptStatus::connect_failed
-                                      : AttemptStatus::not_sent;  // for want of a socket of our own
-    Target& target = targets_[channel.target];
-    const auto place = std::find_if(target.channels.begin(), target.channels.end(),
-                                    [&](const auto& c) { return c.get() == &channel; });
-    dead_.push_back(std::move(*place));
-    target.channels.erase(place);
-    std::vector<Open> open;
-    for (const auto& [id, one] : channel.open) open.push_back(one);
-    std::sort(open.begin(), open.end(),
-              [](const Open& a, const Open& b) { return a.attempt.number() < b.attempt.number(); });
-    for (const Open& one : open) {
-        carried_.erase(one.attempt.number());
+// Ends all open attempts of the connection; those that were written may have run.
+void ConnectionPool::close(Connection& connection, bool was_connected) {
+    if (!connections_.erase(connection.number)) return;
+    loop_.timers().cancel(connection.connect_timer);
+    const bool was_attempted = connection.stream || connection.disconnected;
+    if (connection.stream) connection.stream->close();
+    connection.stream = nullptr;
+    const AttemptStatus unwritten_status = was_connected || was_attempted
+                                               ? AttemptStatus::connect_failed
+                                               : AttemptStatus::not_sent;  // no local socket was available
+    Target& target = targets_[connection.target];
+    const auto found = std::find_if(target.connections.begin(), target.connections.end(),
+                                    [&](const auto& c) { return c.get() == &connection; });
+    closed_.push_back(std::move(*found));
+    target.connections.erase(found);
+    std::vector<OpenAttempt> open_attempts;
+    for (const auto& [id, entry] : connection.open_attempts) open_attempts.push_back(entry);
+    std::sort(open_attempts.begin(), open_attempts.end(), [](const OpenAttempt& a, const OpenAttempt& b) {
+        return a.attempt.number() < b.attempt.number();
+    });
+    for (const OpenAttempt& entry : open_attempts) {
+        locations_.erase(entry.attempt.number());
         core_.on_attempt_finished(
-            one.attempt,
-            core::AttemptResult{.status = one.begun ? AttemptStatus::connection_reset : unbegun});
+            entry.attempt, core::AttemptResult{.status = entry.written ? AttemptStatus::connection_reset
+                                                                       : unwritten_status});
     }
 }
 
 void ConnectionPool::close_idle_connections(const std::string& name) {
     const auto found = targets_.find(name);
     if (found == targets_.end()) return;
-    std::vector<Channel*> idle;
-    for (const auto& channel : found->second.channels)
-        if (channel->open.empty() && channel->up) idle.push_back(channel.get());
-    for (Channel* channel : idle) drop(*channel, true);
+    std::vector<Connection*> idle;
+    for (const auto& connection : found->second.connections)
+        if (connection->open_attempts.empty() && connection->connected) idle.push_back(connection.get());
+    for (Connection* connection : idle) close(*connection, true);
 }
 
 void ConnectionPool::sweep() {
     const Micros now = loop_.clock().now();
-    std::vector<Channel*> idle, stalled;
-    for (const auto& [number, channel] : channels_)
-        if (channel->up && channel->open.empty() &&
-            (channel->suspect || channel->given_up.size() >= kMostGivenUp ||
-             targets_[channel->target].retired || now - channel->used > limits_.idle_close - kIdleMargin))
-            idle.push_back(channel);
-        else if (channel->reader.partial() && now - channel->last_byte_at > kStalled)
-            stalled.push_back(channel);
-    for (Channel* channel : idle) drop(*channel, true);
-    for (Channel* channel : stalled) {
-        log::debug("{} stopped in the middle of an answer", channel->target);
-        drop(*channel, true);
+    std::vector<Connection*> idle, stalled;
+    for (const auto& [number, connection] : connections_)
+        if (connection->connected && connection->open_attempts.empty() &&
+            (connection->suspect || connection->cancelled_ids.size() >= kMaxCancelledIds ||
+             targets_[connection->target].retired ||
+             now - connection->last_used_at > limits_.idle_close - kIdleMargin))
+            idle.push_back(connection);
+        else if (connection->reader.has_partial_response() &&
+                 now - connection->last_byte_at > kMaxResponseStall)
+            stalled.push_back(connection);
+    for (Connection* connection : idle) close(*connection, true);
+    for (Connection* connection : stalled) {
+        log::debug("upstream: response stalled, connection closed at={}", connection->target);
+        close(*connection, true);
     }
     if (!stalled.empty()) core_.process_events();
-    std::erase_if(targets_, [](const auto& t) { return t.second.retired && t.second.channels.empty(); });
-    loop_.timers().schedule(now + kSweep, [this] { sweep(); });
+    std::erase_if(targets_, [](const auto& t) { return t.second.retired && t.second.connections.empty(); });
+    loop_.timers().schedule(now + kSweepInterval, [this] { sweep(); });
 }
 
 }  // namespace sumackeel::upstream
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -18,7 +18,7 @@
 
 struct Limits {
     int streams_per_conn = 100;
-    double handshake_price = 0;  // of one request's worth; 0: connections cost nothing
+    double handshake_price = 0;  // relative to the value of one request; 0: connections are free
     Micros connect_timeout = 400'000;
     Micros idle_close = 15'000'000;
 };
@@ -30,57 +30,57 @@
     ConnectionPool(const ConnectionPool&) = delete;
     ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-    // Where a target listens from now on. Another address than before is another machine.
+    // The address of a target from now on. A changed address means another machine.
     void set_address(const std::string& target, const std::string& address);
-    // Nothing new is sent there; its connections close once nothing is open on them.
+    // No new attempt is sent to the target; its connections close once nothing is open on them.
     void retire(const std::string& target);
     void retain_only(const std::vector<std::string>& targets);
 
-    std::uint64_t start(const core::AttemptRequest& sending) override;
+    std::uint64_t start(const core::AttemptRequest& attempt_request) override;
     bool cancel(Handle attempt) override;
     bool not_started(Handle attempt) const override;
     bool lacks_socket(Handle attempt) const override;
     void close_idle_connections(const std::string& target) override;
 
   private:
-    struct Open {
+    struct OpenAttempt {
         Handle attempt;
-        Micros sent = 0;
-        bool begun = false;  // written
+        Micros sent_at = 0;
+        bool written = false;
     };
-    struct Channel;
+    struct Connection;
     struct Target {
         std::string address;
-        std::vector<std::unique_ptr<Channel>> channels;
-        Micros full_until = 0;  // it refused a connection while others were up: no more of them till then
+        std::vector<std::unique_ptr<Connection>> connections;
+        Micros backoff_until = 0;  // no new connection until then: it refused one while others were up
         bool retired = false;
     };
 
-    Channel* pick(Target& target, const core::AttemptRequest& sending);
-    Channel* dial(const std::string& name, Target& target);
-    void end(Handle attempt, routing::AttemptStatus verdict);
-    void drop(Channel& channel, bool came_up);
-    void end_unbegun(Handle attempt);
-    bool silent(const Channel& channel) const;
-    bool make_room(const Channel* keep);
+    Connection* select(Target& target, const core::AttemptRequest& attempt_request);
+    Connection* open_connection(const std::string& name, Target& target);
+    void finish(Handle attempt, routing::AttemptStatus status);
+    void close(Connection& connection, bool was_connected);
+    void finish_unwritten(Handle attempt);
+    bool is_unresponsive(const Connection& connection) const;
+    bool make_room(const Connection* keep);
     void sweep();
-    void begin_opened();
-    void dial_later(std::uint64_t number);
+    void start_opened();
+    void retry_connect(std::uint64_t number);
 
     net::Loop& loop_;
     net::SocketBudget& budget_;
     core::Core& core_;
     Limits limits_;
     std::map<std::string, Target> targets_;
-    std::unordered_map<std::uint64_t, Channel*> channels_;  // by number
-    std::uint64_t next_channel_ = 1;
-    struct Where {
-        std::uint64_t channel;
+    std::unordered_map<std::uint64_t, Connection*> connections_;  // by number
+    std::uint64_t next_number_ = 1;
+    struct Location {
+        std::uint64_t connection;
         std::string id;
     };
-    std::unordered_map<std::uint64_t, Where> carried_;  // attempt to its place
-    std::vector<std::uint64_t> opened_;                 // channels that came up in this turn
-    std::vector<std::unique_ptr<Channel>> dead_;
+    std::unordered_map<std::uint64_t, Location> locations_;  // by attempt
+    std::vector<std::uint64_t> opened_;                      // connected in this iteration of the loop
+    std::vector<std::unique_ptr<Connection>> closed_;        // destroyed at the end of the iteration
 };
 
 }  // namespace sumackeel::upstream
