--- a/src/net/background_task.h
+++ b/src/net/background_task.h
@@ -1,4 +1,4 @@
-// Work that may wait for a disk, run on a thread of libuv's pool so that the loop never waits.
+// Runs work that may block on a disk in libuv's thread pool, so that it does not block the loop.
 #pragma once
 
 #include <functional>
@@ -7,8 +7,8 @@
 
 namespace sumackeel::net {
 
-// One piece of work at a time. What is running when this is destroyed goes on by itself, also where its disk
-// hangs, and its result is dropped; so `work` may reference nothing that dies with the owner.
+// One piece of work at a time. Work that is running on destruction continues, even if its disk hangs, and its
+// result is dropped; so `work` must not reference anything that is destroyed with the owner.
 class BackgroundTask {
   public:
     explicit BackgroundTask(Loop& loop) : loop_(loop) {}
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -11,7 +11,7 @@
 
 class ConnectionManager;
 
-// Destroyed by its manager in the loop's iteration after it was closed.
+// Destroyed by its manager in the iteration of the loop after its close.
 class ClientConnection : public Stream::Handler {
   public:
     std::uint64_t id() const { return id_; }
@@ -20,21 +20,21 @@
     void on_close(Stream& stream, DisconnectCause cause) final;
     void on_discarded(Stream& stream, const DiscardedBytes& discarded) final;
 
-    // The client sends requests while others are open. It may be sending one though nothing is open now, for
-    // it had an earlier response than the last one just before.
+    // The client sends requests while others are open. It may be sending one although none is open now, in
+    // reaction to an earlier response that it received just before the last one.
     virtual bool overlaps_requests() const { return false; }
 
   protected:
     // Called once, when the connection is closed or half-closed.
     virtual void on_closed() = 0;
-    // Called before it is closed half-way through a request that took too long; a last response may be
+    // Called before it is closed because a request was incomplete for too long; a last response may be
     // written.
     virtual void on_request_timeout() {}
-    // For on_data(), once in each call: when the last of its bytes arrived. That is long ago where the
-    // connection waited at the listener, or the process stood still.
+    // To be called once in each on_data(): when the last of its bytes arrived. That may be long ago if the
+    // connection waited in the accept queue or the process was stalled.
     Micros received_at();
-    // The bytes of received_at() were read late and the client has left meanwhile: its requests are not
-    // wanted any more.
+    // The bytes of received_at() were read late and the client has closed meanwhile, so it does not wait for
+    // responses any more.
     bool peer_has_left() const;
 
   private:
--- a/src/net/connection_manager.cpp
+++ b/src/net/connection_manager.cpp
@@ -9,15 +9,14 @@
 
 namespace {
 
-constexpr Micros kEnforceInterval = 20'000;  // us between two looks at the timeouts
-// One that reads at all takes a response in less, and need not be evicted when memory is short.
+constexpr Micros kEnforceInterval = 20'000;  // us between two checks of the timeouts
+// A client that reads at all reads a response within this, and need not be evicted when memory is short.
 constexpr Micros kSlowReader = 1'000'000;  // us
 // A client closes its side within a round trip.
 constexpr Micros kHalfClosedTimeout = 500'000;  // us
-// Bytes that are read this much later than they arrived have used up their sender's time meanwhile.
+// When bytes are read this much later than they arrived, their sender may have timed out.
 constexpr Micros kReadLate = 50'000;  // us
-// Connections accepted in one iteration of the loop, so that a flood of them does not hold up those that are
-// open.
+// Connections accepted in one iteration of the loop, so that a flood of them does not delay open ones.
 constexpr int kMaxAcceptsPerIteration = 64;
 
 }  // namespace
@@ -35,14 +34,14 @@
     manager_->record_discarded(*this, discarded);
 }
 
-// With one reading of the clock: the process may be stopped between two, and what arrived before the stop
-// would seem to have arrived after it.
+// Reads the clock once: the process may be stalled between two readings, and bytes that arrived before the
+// stall would seem to have arrived after it.
 Micros ClientConnection::received_at() {
     const Micros now = manager_->loop_.clock().now();
     const Micros earliest =
         unread_arrived_after_ > 0 ? unread_arrived_after_ : manager_->loop_.last_poll_at();
     read_late_ = now - earliest >= kReadLate;
-    // What had arrived by then may be read in several iterations.
+    // Bytes that had arrived by then may be read in several iterations.
     unread_arrived_after_ = read_late_ && stream_->has_unread_data() ? earliest : 0;
     return read_late_ ? std::max(earliest, now - stream_->time_since_last_byte()) : now;
 }
@@ -123,7 +122,7 @@
     connections_.emplace(connection->id_, std::move(connection));
 }
 
-// A listener that closes resets the connections in its queue, with the requests sent on them.
+// Closing the listener resets the connections in its queue, and the requests sent on them are lost.
 void ConnectionManager::stop_listening(bool others_listen) {
     while (!others_listen && listener_.has_waiting()) {
         accept_queue_waiting_ = true;
@@ -134,10 +133,10 @@
     listener_.close();
 }
 
-// In the order of what is lost by it: connections that sent nothing, those half-way through a request, the
-// idle. One whose next bytes have arrived unread is never evicted, nor a half-closed one whose last response
-// waits for room at the client. The descriptor is needed now, so this does not wait for the other side, not
-// even for the acknowledgement of what was sent.
+// Evicts in the order of the least loss: connections that sent nothing, those with a partial request, idle
+// ones. A connection with unread bytes is never evicted, nor a half-closed one whose last response waits for
+// room at the client. The descriptor is needed now, so this does not wait for the client, not even for the
+// acknowledgement of sent bytes.
 bool ConnectionManager::make_room() {
     for (ClientConnection* connection : in_state(ConnectionState::half_closed))
         if (connection->stream_->unsent_bytes() == 0 && !connection->stream_->congested()) {
@@ -152,7 +151,8 @@
             if (evict_if_quiet(*connection)) return true;
         }
     thread_local log::RateLimitedLogger logger;
-    logger.warn("listener: no room, a client waits connections={}", connections_.size());
+    logger.warn("listener: no room, a connection stays in the accept queue connections={}",
+                connections_.size());
     return false;
 }
 
@@ -190,7 +190,7 @@
     target.splice(target.end(), in_state(connection.state_), connection.position_);
     connection.state_ = state;
     connection.since_ = loop_.clock().now();
-    // Between two requests is the one moment at which closing loses nothing.
+    // Only between two requests does closing lose nothing.
     if (draining_ && state == ConnectionState::idle) close_drained(connection);
 }
 
@@ -199,7 +199,7 @@
     if (on) close_in_state(ConnectionState::idle);
 }
 
-// A client that waits for this response meets the end before it can send its next request.
+// A client that waits for this response sees the close before it can send its next request.
 void ConnectionManager::write_last_response(ClientConnection& connection, std::string bytes) {
     Stream& stream = *connection.stream();
     if (!draining_) return stream.write(std::move(bytes));
@@ -213,18 +213,19 @@
     connection.stream_->shutdown();
 }
 
-// What the client sends before it sees the close is lost once it is acknowledged. So the look for unread
-// bytes and the close are one step, in which nothing is acknowledged.
+// What the client sends before it sees the close is lost once it is acknowledged. So the check for
+// unread bytes and the close are one step, during which nothing is acknowledged.
 bool ConnectionManager::close_if_quiet(ClientConnection& connection, CloseReason reason) {
     if (!is_done(connection, connection.stream_->shutdown_if_quiet(dropped_data_at_close()))) return false;
     on_half_closed(connection, reason);
     return true;
 }
 
-// An end is given up over dropped data while there is time for that to come again, and for the next try.
+// A close is interrupted by dropped data as long as there is time for its retransmission and for the next
+// try.
 DroppedData ConnectionManager::dropped_data_at_close() const {
-    const Micros tried_again = loop_.clock().now() + Stream::kRetransmission + 2 * kEnforceInterval;
-    const auto is_too_late = [&](std::optional<Micros> end) { return end && tried_again > *end; };
+    const Micros next_try_done = loop_.clock().now() + Stream::kRetransmission + 2 * kEnforceInterval;
+    const auto is_too_late = [&](std::optional<Micros> end) { return end && next_try_done > *end; };
     const bool no_time = is_too_late(drain_.ends_at()) || is_too_late(exit_deadline_);
     return no_time ? DroppedData::is_left : DroppedData::interrupts;
 }
@@ -234,13 +235,13 @@
     if (result == QuietResult::done && stream.left_dropped_data()) ++discard_metrics_.dropped_at_half_close;
     if (result == QuietResult::interrupted) {
         ++interrupted_closes_;
-        log::debug("listener: end interrupted connection={} dropped_data={}", connection.id_,
+        log::debug("listener: close interrupted connection={} dropped_data={}", connection.id_,
                    stream.has_dropped_data());
     }
     return result == QuietResult::done;
 }
 
-// Nothing that the client reads slowly may lie before the close: it goes on sending meanwhile.
+// Not while the client reads slowly: it may send more requests before it gets to the close.
 void ConnectionManager::close_drained(ClientConnection& connection) {
     if (connection.stream_->congested()) return;
     if (!is_settled(connection)) return close_once_settled(connection);
@@ -260,8 +261,8 @@
         connection.since_ + timeouts_.settle,
         [this, id = connection.id_, since = connection.since_, alive = std::weak_ptr<bool>(alive_)] {
             ClientConnection* found = alive.expired() ? nullptr : find(id);
-            const bool rests = found && found->state_ == ConnectionState::idle && found->since_ == since;
-            if (rests && draining_) close_drained(*found);
+            const bool still_idle = found && found->state_ == ConnectionState::idle && found->since_ == since;
+            if (still_idle && draining_) close_drained(*found);
         });
 }
 
@@ -283,23 +284,23 @@
         if (connection->stream() && connection->state_ == state) close_drained(*connection);
 }
 
-// For the end of a drain, when a client that never stops sending may not hold its connection any longer: what
-// has arrived is read, and refused by the server, before the look. The refusals go out with the end: a client
-// that has one ahead of it sends its next request.
+// For the end of a drain, when a client that never stops sending can't keep its connection any longer: bytes
+// that have arrived are read, and rejected by the server, before the check. The rejections are sent together
+// with the close, since a client that gets one earlier sends its next request.
 void ConnectionManager::close_idle_after_reading() {
     for (ClientConnection* connection : snapshot(ConnectionState::idle)) {
         if (!connection->stream() || connection->stream_->congested()) continue;
         if (connection->stream_->awaits_retransmission()) continue;
         const Stream::ReceiveBlock block(*connection->stream_);
-        const Stream::WriteBatch refusals(*connection->stream_);
+        const Stream::WriteBatch rejections(*connection->stream_);
         connection->stream_->read_available();
         const bool still_idle = connection->stream() && connection->state_ == ConnectionState::idle;
         if (still_idle) close_if_quiet(*connection, drain_close_reason());
     }
 }
 
-// Those that have been in a state for longer than `timeout`. Closing one may evict another of them, so
-// callers look at each connection's stream again before they close it.
+// Connections that have been in a state for longer than `timeout`. Closing one may evict another of them, so
+// callers check each connection's stream again before they close it.
 std::vector<ClientConnection*> ConnectionManager::overdue(ConnectionState state, Micros timeout) const {
     const Micros before = loop_.clock().now() - timeout;
     std::vector<ClientConnection*> found;
@@ -316,8 +317,8 @@
         if (connection->stream()) close_unless_complete(*connection);
 }
 
-// What has arrived is read first, and may complete the request. What arrives meanwhile is not acknowledged,
-// so a client that goes on sending parts of a request gains no time by it.
+// Bytes that have arrived are read first, and may complete the request. Bytes that arrive meanwhile are not
+// acknowledged, so a client that keeps sending parts of a request gains no time by it.
 void ConnectionManager::close_unless_complete(ClientConnection& connection) {
     const ConnectionState state = connection.state_;
     const Stream::ReceiveBlock block(*connection.stream_);
@@ -337,11 +338,11 @@
 
 void ConnectionManager::record_discarded(const ClientConnection& connection,
                                          const DiscardedBytes& discarded) {
-    // One for each kind: a crowd of the one does not hide the other.
+    // One for each kind, so that many lines of one do not suppress the other.
     thread_local log::RateLimitedLogger logger_at_half_close, logger_after_half_close;
-    const bool was_there = discarded.at_half_close > 0;
-    ++(was_there ? discard_metrics_.at_half_close : discard_metrics_.after_half_close);
-    log::RateLimitedLogger& logger = was_there ? logger_at_half_close : logger_after_half_close;
+    const bool arrived_before_close = discarded.at_half_close > 0;
+    ++(arrived_before_close ? discard_metrics_.at_half_close : discard_metrics_.after_half_close);
+    log::RateLimitedLogger& logger = arrived_before_close ? logger_at_half_close : logger_after_half_close;
     logger.warn("listener: bytes discarded connection={} at_half_close={} after_half_close={} since_us={}",
                 connection.id_, discarded.at_half_close, discarded.after_half_close,
                 discarded.since_half_close);
@@ -369,7 +370,7 @@
         if (connection->stream()) close_if_quiet(*connection, CloseReason::idle_timeout);
     for (ClientConnection* connection : overdue(ConnectionState::flushing, timeouts_.write))
         evict(*connection, CloseReason::write_timeout);
-    // Its last response may take as long to be read as any other.
+    // The client may take as long to read its last response as any other.
     for (ClientConnection* connection : overdue(ConnectionState::half_closed, kHalfClosedTimeout))
         if (!connection->stream_->has_undelivered_data() || connection->since_ <= now - timeouts_.write)
             evict(*connection, CloseReason::write_timeout);
--- a/src/net/connection_manager.h
+++ b/src/net/connection_manager.h
@@ -1,5 +1,5 @@
-// The connections of one server: which are accepted, how long each state may last, and which is evicted to
-// make room.
+// The connections of one server: accepts them, enforces the timeouts of their states, and evicts some to make
+// room.
 #pragma once
 
 #include <array>
@@ -26,11 +26,11 @@
         Micros request;  // from connecting, or from a later request's first byte, until it is complete
         Micros idle;     // between two requests
         Micros write;    // until the client has read one more response
-        // Within this all connections in the accept queue are accepted, however many: the more, the sooner a
-        // silent connection makes room. 0: no bound, and none younger than 100 ms makes room.
+        // All connections in the accept queue are accepted within this time: the longer the queue, the sooner
+        // a silent connection is evicted. 0: no bound, and no connection younger than 100 ms is evicted.
         Micros accept_queue = 0;
-        // A drain ends a connection with overlapping requests once it has been idle for so long: its client
-        // sends meanwhile what an earlier response lets it send.
+        // A drain closes a connection with overlapping requests once it has been idle for this long, since
+        // its client may still send requests in reaction to earlier responses.
         Micros settle = 0;
     };
 
@@ -45,52 +45,51 @@
     // Called by the server after each change of state. The state's time starts anew with each change, each
     // idle spell and, with `response_read`, each response that the client has read.
     void set_state(ClientConnection& connection, ConnectionState state, bool response_read = false);
-    // For when responses take too much memory: closes the connection that has read nothing for longest, but
+    // When responses take too much memory: closes the connection whose client has not read for longest, but
     // not `keep`.
     void evict_slowest_reader(const ClientConnection& keep);
     // Null: closed, or half-closed.
     ClientConnection* find(std::uint64_t id) const;
     std::size_t unsent_bytes() const { return budget_.unsent_bytes(); }  // of responses, over all connections
     void set_max_connections(int limit) { budget_.set_limit(limit); }
-    // Connections in the system's accept queue are accepted first, unless another process accepts from the
-    // same socket. While some wait for which there is no room, or no descriptor, the listener stays open:
-    // call again.
+    // Connections in the accept queue are accepted first, unless another process accepts from the same
+    // socket. The listener stays open while there is no room, or no descriptor, for some of them: call again.
     void stop_listening(bool others_listen);
-    // On: idle connections close now, the others once their last response is sent; the listener goes on. Off:
-    // all as before.
+    // On: idle connections close now, others once their last response is sent; the listener continues.
+    // Off: normal operation.
     void set_draining(bool on);
     // The drain in progress, or none: how long states may last while connections are drained.
     void set_drain(const admin::DrainSchedule& drain) { drain_ = drain; }
     const admin::DrainSchedule& drain() const { return drain_; }
-    // At the end of the process all that is open is answered at this time; no connection settles any longer.
+    // By this time all open requests have a response; from then on closes do not wait for Timeouts::settle.
     void set_shutdown_deadline(Micros at) { shutdown_deadline_ = at; }
-    // When the process ends, and with it all connections.
+    // When the process exits, which closes all connections.
     void set_exit_deadline(Micros at) { exit_deadline_ = at; }
-    // Writes a response behind which nothing is open, to a client that sends nothing before it has it. While
-    // connections are drained the connection's end goes out with it, unless bytes wait to be read.
+    // Writes a response after which no request is open, to a client that sends nothing before it has received
+    // it. During a drain the connection is half-closed together with it, unless bytes wait to be read.
     void write_last_response(ClientConnection& connection, std::string bytes);
-    // Half-closes one connection behind what was written to it. Requests that cross this are not read.
+    // Half-closes a connection after the bytes written to it. Requests that cross the close are not read.
     void close(ClientConnection& connection, CloseReason reason = CloseReason::protocol);
-    // Closes all with nothing open, half received or unread, those too that never sent a request.
+    // Closes all connections without an open, partial or unread request, and those that never sent one.
     void close_all_idle();
-    // A request is half received, or has arrived unread, or a connection waits in the accept queue.
+    // A request is partially received or unread, or a connection waits in the accept queue.
     bool has_pending_input() const;
     std::size_t connection_count() const { return connections_.size(); }  // half-closed ones too
     std::size_t count(ConnectionState state) const { return in_state(state).size(); }
     std::uint64_t closed_count(CloseReason reason) const {
         return closed_counts_[static_cast<std::size_t>(reason)];
     }
-    // Reads of bytes that arrived on connections ended by this side.
+    // Reads of bytes that arrived on connections closed by this side.
     struct DiscardMetrics {
-        std::uint64_t at_half_close = 0;     // some had arrived by the half-close: a request may be lost
-        std::uint64_t after_half_close = 0;  // all arrived behind it: they crossed the end
-        // Half-closes over data that was dropped as they were tried, for want of time: its sender has to send
-        // it elsewhere.
+        std::uint64_t at_half_close = 0;     // some arrived before the half-close: a request may be lost
+        std::uint64_t after_half_close = 0;  // all arrived after it: they crossed the close
+        // Half-closes despite data that was dropped during them, as there was no time left: its sender has to
+        // send it elsewhere.
         std::uint64_t dropped_at_half_close = 0;
     };
     const DiscardMetrics& discard_metrics() const { return discard_metrics_; }
-    // Ends that were given up since bytes arrived meanwhile; these, or what came right behind them, are
-    // delayed by a retransmission.
+    // Closes that were interrupted because bytes arrived during them; these bytes, or those right after them,
+    // are delayed by a retransmission.
     std::uint64_t interrupted_closes() const { return interrupted_closes_; }
     int port() const { return listener_.port(); }
 
--- a/src/net/eviction_policy.h
+++ b/src/net/eviction_policy.h
@@ -1,5 +1,5 @@
-// Which connection makes room for another, as values: how old it has to be in its state, and in which order
-// states are looked through. Pure; times are microseconds.
+// Which connections may be evicted for others: how long they have to have been in their state. Pure; times
+// are in microseconds.
 #pragma once
 
 #include <algorithm>
@@ -11,14 +11,14 @@
 using base::Micros;
 
 // How long a connection has to have been in its state before it may be evicted for another. A client sends
-// its request as soon as it is connected, so a young connection is left alone: a flood of new ones can't
-// sweep out honest ones among them.
+// its request as soon as it is connected, so young connections are kept: a flood of new ones can't evict
+// legitimate ones among them.
 //
 // Where a server bounds the time in its accept queue, the age shrinks with the length of that queue, so that
 // all of it is accepted within the bound.
 class EvictionAge {
   public:
-    // `accept_queue_timeout`: 0: the accept queue is not bounded, and the age is always the longest.
+    // `accept_queue_timeout`: 0: the time in the accept queue is not bounded, and the age is always kMaxAge.
     explicit EvictionAge(Micros accept_queue_timeout) : accept_queue_timeout_(accept_queue_timeout) {}
 
     static constexpr Micros kMaxAge = 100'000;  // us
--- a/src/net/latest_value_writer.h
+++ b/src/net/latest_value_writer.h
@@ -1,4 +1,5 @@
-// Keeps the newest of a series of texts on disk, written off the loop and retried until it is there.
+// Writes the newest of a series of texts to disk, on another thread than the loop, with retries until it
+// succeeds.
 #pragma once
 
 #include <functional>
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,8 +1,8 @@
-// A listening TCP socket whose connections are accepted one by one, when its owner has room for them.
+// A listening TCP socket whose owner accepts connections one by one, as it has room for them.
 //
-// Connections that are not accepted stay in the system's queue, whatever the reason. libuv's own listener is
-// not used: on EMFILE and ENFILE it accepts the next connection and closes it, and on other errors it calls
-// accept again without end.
+// Connections that are not accepted stay in the system's accept queue, whatever the reason. libuv's own
+// listener is not used: on EMFILE and ENFILE it accepts the next connection and closes it, and on other
+// errors it calls accept again without end.
 #pragma once
 
 #include <uv.h>
@@ -16,7 +16,7 @@
 
 namespace sumackeel::net {
 
-// An address to bind, or a descriptor handed in that listens already.
+// An address to bind, or an inherited descriptor that already listens.
 struct ListenAddress {
     ListenAddress(const std::string& at) : address(at) {}  // NOLINT: an address is the usual place
     ListenAddress(const char* at) : address(at) {}         // NOLINT
@@ -27,12 +27,12 @@
     int backlog = kUsualBacklog;  // length of the accept queue; the system's own bound holds too
 };
 
-// An address or a descriptor that can't be listened on; the text says which, and why.
+// Listening on an address or a descriptor failed; the text says on which, and why.
 class ListenError : public std::runtime_error {
   public:
     enum class Code {
         invalid_address,
-        invalid_descriptor,  // handed in, and no listening TCP socket over IPv4
+        invalid_descriptor,  // inherited, and no listening TCP socket over IPv4
         system_error
     };
     ListenError(Code code, const std::string& text) : std::runtime_error(text), code_(code) {}
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -17,7 +17,7 @@
 
 constexpr Micros kMicrosPerMilli = 1'000;
 constexpr int kMaxPort = 65'535;
-constexpr int kMaxCatchUpIterations = 64;  // so that a flood does not keep timers from running
+constexpr int kMaxCatchUpIterations = 64;  // so that a flood of input does not keep timers from running
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection is an error like any other
     std::signal(SIGXFSZ, SIG_IGN);  // and so is one to a file that may not grow
     const int failed = base::retry_at_startup([this] { return uv_loop_init(&loop_); });
-    if (failed != 0) throw LoopError("no event loop can be made: " + base::describe_error(failed));
+    if (failed != 0) throw LoopError("can't create event loop: " + base::describe_error(failed));
     loop_.data = this;
     uv_timer_init(&loop_, &timer_);
     uv_prepare_init(&loop_, &prepare_);
@@ -52,16 +52,16 @@
     uv_run(&loop_, UV_RUN_DEFAULT);
 }
 
-// After a stall of the process all timers that are due would run before what arrived meanwhile is read:
-// responses would be given up and clients that left would be served. So iterations are spent on reading alone
-// for as long as something waits to be read.
+// After a stall of the process all due timers would run before the input that arrived meanwhile is read:
+// attempts would time out though their responses have arrived, and clients that have left would be served. So
+// iterations only read, as long as input is waiting.
 bool Loop::is_catching_up() {
     clock_.now();
     if (clock_.total_stall_time() != std::exchange(seen_stall_time_, clock_.total_stall_time()))
         catch_up_iterations_ = kMaxCatchUpIterations;
     if (catch_up_iterations_ == 0) return false;
-    // Polled anew: a wait that was interrupted by a signal, as the one that continues the process, says
-    // nothing.
+    // Polls again, since a wait that was interrupted by a signal, such as the one that continues the process,
+    // tells nothing about waiting input.
     pollfd backend{.fd = uv_backend_fd(&loop_), .events = POLLIN, .revents = 0};
     catch_up_iterations_ = ::poll(&backend, 1, 0) == 0 ? 0 : catch_up_iterations_ - 1;
     return catch_up_iterations_ > 0;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -17,7 +17,7 @@
 
 using base::Micros;
 
-// The event loop can't be made; the text says why.
+// The event loop can't be created; the text says why.
 class LoopError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
@@ -35,13 +35,13 @@
     uv_loop_t* raw() { return &loop_; }
     base::Clock& clock() { return clock_; }
     base::TimerQueue& timers() { return timers_; }
-    // Bytes read from a socket; consumed before the next read. One for each loop: shared between loops, bytes
-    // of one connection would be taken for another's.
+    // Bytes read from a socket; consumed before the next read. Each loop has its own: if loops shared it,
+    // bytes of one connection would be taken for another's.
     std::vector<char>& read_buffer() { return read_buffer_; }
-    // What becomes readable in this iteration arrived after this moment: the iteration before had polled by
-    // then.
+    // Bytes that become readable in this iteration arrived after this time, at which the previous iteration
+    // had polled.
     Micros last_poll_at() const { return previous_poll_at_; }
-    // How long this iteration has been running: what arrived since it began is not read yet.
+    // How long this iteration has been running; bytes that arrived since its start are not read yet.
     Micros iteration_age() const { return static_cast<Micros>(uv_hrtime() / 1'000 - uv_now(&loop_) * 1'000); }
     // `callback` is called at the end of each iteration, after the timers.
     void on_each_iteration(std::function<void()> callback) {
--- a/src/net/receive_filter.h
+++ b/src/net/receive_filter.h
@@ -1,5 +1,5 @@
-// A filter on the segments that a TCP socket receives. What it drops is not acknowledged, and its sender
-// sends it again (Linux: SO_ATTACH_FILTER, which needs no privilege).
+// A filter on the segments that a TCP socket receives. Dropped segments are not acknowledged, and their
+// sender retransmits them (Linux: SO_ATTACH_FILTER, which needs no privilege).
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,10 @@
 
 namespace sumackeel::net {
 
-// From now on segments with data are dropped. Acknowledgements, ends and resets without data still arrive. No
+// Drops segments with data from now on. Acknowledgements, FINs and resets without data still arrive. No
 // effect where the system refuses.
 void drop_arriving_data(int fd);
-// Ends that.
+// Ends drop_arriving_data().
 void accept_arriving_data(int fd);
 
 // Segments that the system has dropped on this socket since it was opened, for whatever reason; wraps around.
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-// A look for dropped data that takes longer was followed by others' time on the processor: it is out of date.
-constexpr std::uint64_t kMaxLookTime = 20'000;  // ns
-constexpr int kMaxLooks = 4;
+// If a check for dropped data takes longer, the process was preempted and the result is out of date.
+constexpr std::uint64_t kMaxCheckTime = 20'000;  // ns
+constexpr int kMaxChecks = 4;
 
 struct Write {
     uv_write_t request;
@@ -121,7 +121,7 @@
     for (std::size_t unread = unread_bytes(); unread > 0 && is_open();) {
         const ssize_t count =
             recv(descriptor(), buffer.data(), std::min(unread, buffer.size()), MSG_DONTWAIT);
-        if (count <= 0) return;  // an end or an error is reported from the loop
+        if (count <= 0) return;  // the end of the stream or an error is reported from the loop
         unread -= static_cast<std::size_t>(count);
         deliver({buffer.data(), static_cast<std::size_t>(count)});
     }
@@ -147,8 +147,8 @@
     if (failed != 0) {
         delete write;
         budget_.unsent_bytes(-size);
-        // The read side reports the broken connection; reported from here it would come in the middle of a
-        // call.
+        // The read side reports the broken connection; reporting it here would call the handler from within
+        // its own call.
     }
 }
 
@@ -156,8 +156,8 @@
     if (state_ != State::open) return;
     // libuv does not modify what it writes.
     const uv_buf_t buffer = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
-    const int taken = uv_try_write(as_stream(), &buffer, 1);
-    bytes.remove_prefix(taken > 0 ? static_cast<std::size_t>(taken) : 0);
+    const int written = uv_try_write(as_stream(), &buffer, 1);
+    bytes.remove_prefix(written > 0 ? static_cast<std::size_t>(written) : 0);
     if (!bytes.empty()) write(std::string(bytes));
 }
 
@@ -211,7 +211,7 @@
     return recv(descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-// Data that an earlier block dropped stays counted until it has come again.
+// Data that an earlier block dropped stays counted until it has been retransmitted.
 void Stream::block_receive() {
     if (receive_blocks_++ > 0) return;
     if (!awaits_retransmission()) dropped_before_block_ = dropped_segments(descriptor());
@@ -240,24 +240,24 @@
     return true;
 }
 
-void Stream::set_gathering(bool on) {
+void Stream::set_cork(bool on) {
     const int value = on ? 1 : 0;
     setsockopt(descriptor(), IPPROTO_TCP, TCP_CORK, &value, sizeof value);
 }
 
-// The process may be preempted as it returns from the system. Then it looks again.
+// Checks again if the process was preempted on its return from the system call.
 bool Stream::has_dropped_data_by_now() const {
-    for (int look = 0; look < kMaxLooks; ++look) {
-        const std::uint64_t began = uv_hrtime();
+    for (int check = 0; check < kMaxChecks; ++check) {
+        const std::uint64_t started_at = uv_hrtime();
         if (has_dropped_data()) return true;
-        if (uv_hrtime() - began <= kMaxLookTime) return false;
+        if (uv_hrtime() - started_at <= kMaxCheckTime) return false;
     }
     return false;
 }
 
-// `act` says whether it was done. The first look spares the other side a retransmission in the usual case.
-// The process may be preempted at any point between the block and the act, so the look for dropped data comes
-// last.
+// `act` returns whether it was done. The first check avoids a retransmission by the other side in the usual
+// case. The process may be preempted at any point between the block and `act`, so the check for dropped data
+// comes last.
 QuietResult Stream::if_quiet(DroppedData dropped_data, const std::function<bool()>& act) {
     if (has_unread_data() || awaits_retransmission()) return QuietResult::not_quiet;
     const ReceiveBlock block(*this);
@@ -284,8 +284,8 @@
     return result;
 }
 
-// A client's system may hold back what was written until what it sent before is acknowledged (Nagle's
-// algorithm), and else hears of that with the end.
+// A client's system may hold back written bytes until its earlier ones are acknowledged (Nagle's algorithm),
+// and would otherwise get that acknowledgement together with the close.
 void Stream::acknowledge_now() {
     const int on = 1;
     setsockopt(descriptor(), IPPROTO_TCP, TCP_QUICKACK, &on, sizeof on);
@@ -304,7 +304,7 @@
     return shutdown_if_quiet(dropped_data);
 }
 
-// Bytes that the other side's receive window takes now.
+// The bytes for which the other side's receive window has room now.
 std::size_t Stream::peer_room() const {
     int unacknowledged = 0;
     if (ioctl(descriptor(), SIOCOUTQ, &unacknowledged) != 0) return 0;
@@ -318,7 +318,8 @@
     unread_at_half_close_ = unread_bytes();
 }
 
-// Before the half-close all that arrives is discarded as well: its sender can't know of the end yet.
+// Bytes that arrive before the half-close are discarded too; they count as at_half_close, since their sender
+// can't know of the close yet.
 void Stream::discard(std::size_t count) {
     DiscardedBytes discarded;
     discarded.at_half_close = half_closed_at_ ? std::min(count, unread_at_half_close_) : count;
@@ -334,8 +335,8 @@
     if (state_ == State::closed || state_ == State::shutting_down) return;
     if (state_ == State::connecting) return disconnect(DisconnectCause::closed_by_peer);
     state_ = State::shutting_down;
-    // libuv half-closes in a later iteration. What arrives until then would be discarded, though its sender
-    // could not know of the close yet.
+    // libuv half-closes in a later iteration. Bytes that arrive until then would be discarded, though their
+    // sender could not know of the close yet.
     if (unsent_bytes() == 0 && half_close()) return pause(false);
     const int failed = uv_shutdown(&shutdown_request_, as_stream(), [](uv_shutdown_t* request, int status) {
         auto* self = static_cast<Stream*>(request->data);
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -20,36 +20,35 @@
     error  // reset, or failed
 };
 
-// Bytes that arrived on a stream that this side ended, and that nobody handles.
+// Bytes that arrived on a stream that this side has closed, and that are not handled.
 struct DiscardedBytes {
-    std::size_t at_half_close = 0;     // had arrived by the half-close: their sender could not know of it
-    std::size_t after_half_close = 0;  // arrived behind it
+    std::size_t at_half_close = 0;     // arrived before the half-close: their sender could not know of it
+    std::size_t after_half_close = 0;  // arrived after it
     Micros since_half_close = 0;       // until they were read
 };
 
-// What became of an act that loses nothing only while no bytes wait to be read.
+// The result of an action that loses nothing only while no bytes wait to be read.
 enum class QuietResult {
     done,
     not_quiet,    // bytes wait to be read or to be sent; nothing has changed
-    interrupted,  // bytes arrived as it was tried, and are unread or were dropped; nothing else has changed
+    interrupted,  // bytes arrived during it, and are unread or were dropped; nothing else has changed
 };
 
-// What becomes of such an act where data has been dropped by its ReceiveBlock. The other side sends dropped
-// data again.
+// How such an action handles data that its ReceiveBlock has dropped. The other side retransmits dropped data.
 enum class DroppedData {
-    interrupts,  // the act is not done, and the data is read when it comes again
-    is_left      // the act is done; the other side meets the end, and has to send elsewhere
+    interrupts,  // the action is not done, and the data is read when it is retransmitted
+    is_left      // the action is done; the other side sees the close, and has to send elsewhere
 };
 
 // Owns itself: it is deleted once its socket is closed. After close(), or once on_close() was called, its
-// handler hears nothing more and must not use the pointer again.
+// handler is not called any more and must not use the pointer again.
 //
-// A close over unread bytes resets the connection, and the other side may lose what it has not read yet. So
-// connections are ended by shutdown() where there is time; close() is for what is broken, and for where the
-// descriptor is needed now.
+// Closing with unread bytes resets the connection, and the other side may lose bytes that it has not read
+// yet. So connections are closed by shutdown() if there is time; close() is for broken connections, and for
+// when the descriptor is needed now.
 class Stream {
   public:
-    // Linux sends again what is not acknowledged after 0.2 s and the round trip.
+    // Linux retransmits unacknowledged data after 0.2 s and the round trip.
     static constexpr Micros kRetransmission = 250'000;  // us
 
     class Handler {
@@ -66,53 +65,51 @@
     // `error` then holds. A failure to connect is reported from the loop, never from within the call.
     static Stream* connect(Loop& loop, SocketBudget& budget, const sockaddr_in& to, Handler& handler,
                            int* error = nullptr);
-    // Of a connection that a listener accepted; `fd` is owned from now on. Null: there is no room in the
-    // budget.
+    // For an accepted connection; takes ownership of `fd`. Null: there is no room in the budget.
     static Stream* adopt(Loop& loop, SocketBudget& budget, int fd, Handler& handler);
 
     void write(std::string bytes);
-    // The same with a system call now, for content that is true for a moment only. What the system does not
-    // accept at once follows by write(); on_write_drained() is called for that alone.
+    // Writes with a system call in this call, for content that is valid for a moment only. Bytes that the
+    // system does not accept at once are passed to write(); on_write_drained() is called for these only.
     void write_immediately(std::string_view bytes);
     std::size_t unsent_bytes() const { return uv_stream_get_write_queue_size(as_stream()); }
     void pause(bool on);
     bool has_unread_data() const { return unread_bytes() > 0; }
     std::size_t unread_bytes() const;  // in the system's receive buffer; 0 where it can't tell
-    // The system holds bytes back for want of room at the other side, which reads slowly. False where the
-    // system can't tell.
+    // The system holds bytes back since the other side reads slowly and has no room. False where the system
+    // can't tell.
     bool congested() const;
-    // Written bytes that the other side's system has not acknowledged. What arrives on a closed socket resets
-    // the connection, and these are lost with it. False where the system can't tell.
+    // Whether the other side's system has not acknowledged all written bytes. Input on a closed socket resets
+    // the connection, and such bytes are lost with it. False where the system can't tell.
     bool has_undelivered_data() const;
     Micros time_since_last_byte() const;  // in the system's ticks; 0 where it can't tell
     bool peer_has_closed() const;         // all was read, and the other side has closed
-    void close();                         // at once; what is unsent is dropped
+    void close();                         // at once; unsent bytes are dropped
     QuietResult close_if_quiet();         // the same, unless bytes wait to be read or were dropped
     // Data was dropped by the current ReceiveBlock, or the last one. False where the system can't tell.
     bool has_dropped_data() const;
     // This side half-closed by one of the calls below over data that had been dropped (DroppedData::is_left).
     bool left_dropped_data() const { return left_dropped_data_; }
-    // Data was dropped by a ReceiveBlock that is over, or the system can't tell, and is still to be sent
-    // again. Until there was the time for that the stream counts as not quiet.
+    // A past ReceiveBlock dropped data, or the system can't tell, and there was no time for its
+    // retransmission so far. Until then the stream counts as not quiet.
     bool awaits_retransmission() const;
-    // Half-closes once all that was written is sent. What the other side still sends is discarded, with
-    // on_discarded(); on_close() is called when it has closed too. The handler bounds the wait for that.
+    // Half-closes once all written bytes are sent. Later input is discarded, with on_discarded(); on_close()
+    // is called when the other side has closed too. The handler bounds the wait for that.
     void shutdown();
     // Half-closes in this call, unless bytes wait to be read or to be sent.
     QuietResult shutdown_if_quiet(DroppedData dropped_data);
-    // Writes `bytes` and half-closes, both in this call and so that the other side meets the end no later
-    // than the last byte. Not done: they are written alone, since bytes wait to be read or to be sent, or the
-    // other side has no room for them now.
+    // Writes `bytes` and half-closes, both in this call, so that the other side sees the close no later than
+    // the last byte. Not done: they are written without the close, since bytes wait to be read or to be sent,
+    // or the other side has no room for them now.
     QuietResult write_and_shutdown_if_quiet(std::string bytes, DroppedData dropped_data);
-    // Hands what has arrived by now to the handler, in this call. Not from within on_data() of any stream:
-    // the loop has one read buffer.
+    // Passes the bytes that have arrived by now to the handler, in this call. Not from within on_data() of
+    // any stream, as the loop has one read buffer.
     void read_available();
     bool is_open() const { return state_ == State::open; }
 
-    // While one lives no data that arrives on the stream is taken in: the system neither queues nor
-    // acknowledges it, and its sender sends it again later. For decisions that hold only while nothing is
-    // unread; has_dropped_data() tells whether some arrived. They may be nested. No effect where the system
-    // refuses.
+    // While one exists the system neither queues nor acknowledges data that arrives on the stream; its sender
+    // retransmits it later. For decisions that are valid only while nothing is unread; has_dropped_data()
+    // returns whether data arrived. Blocks may be nested. No effect where the system refuses.
     class ReceiveBlock {
       public:
         explicit ReceiveBlock(Stream& stream) : stream_(stream) { stream_.block_receive(); }
@@ -124,12 +121,12 @@
         Stream& stream_;
     };
 
-    // While one lives what is written is gathered in the system, full segments excepted: it goes out behind
-    // it, or with a half-close, and the other side then meets the end with the last of it.
+    // While one exists the system holds written bytes back, except full segments. They are sent when it ends,
+    // or together with a half-close, which the other side then sees with the last byte.
     class WriteBatch {
       public:
-        explicit WriteBatch(Stream& stream) : stream_(stream) { stream_.set_gathering(true); }
-        ~WriteBatch() { stream_.set_gathering(false); }
+        explicit WriteBatch(Stream& stream) : stream_(stream) { stream_.set_cork(true); }
+        ~WriteBatch() { stream_.set_cork(false); }
         WriteBatch(const WriteBatch&) = delete;
         WriteBatch& operator=(const WriteBatch&) = delete;
 
@@ -144,7 +141,8 @@
     enum class State {
         connecting,
         open,
-        shutting_down,  // half-closed, or to be once all is sent: nothing more is written, input is discarded
+        shutting_down,  // half-closed, or will be once all is sent: nothing more is written, input is
+                        // discarded
         closed          // the socket is closed in this iteration of the loop
     };
     void start();
@@ -158,7 +156,7 @@
     void discard(std::size_t count);
     void block_receive();
     void unblock_receive();
-    void set_gathering(bool on);
+    void set_cork(bool on);
     int descriptor() const;  // -1: closed
     void disconnect(DisconnectCause cause);
 
--- a/tests/simulator_adapter/adapter_test.sh
+++ b/tests/simulator_adapter/adapter_test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The adapter's manners: status 0 at the end of input, status 1 with one line on standard error for bad input.
+# Exit status of the adapter: 0 at the end of input, 1 with one line on standard error for invalid input.
 set -u
 adapter=$1
 fail() { echo "FAILED: $1"; exit 1; }
