--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -18,18 +18,16 @@
 // only if no other is available.
 constexpr std::size_t kMaxConnectionsPerTarget = 64;
 // If connections have a price, another one is opened only if it costs less than the requests that would be
-// lost with a shared connection. A connection that one proxy opens for each attempt is opened by a hundred
-// proxies at each endpoint.
-constexpr double kConnectionLossProbability =
-    0.02;  // that a connection breaks or stops responding during a request
-constexpr int kReservedForFirstConnections = 16;  // descriptors kept for targets without a connection
+// lost with a shared connection: what one proxy opens for each attempt, a hundred proxies open at each
+// endpoint.
+constexpr double kConnectionLossProbability = 0.02;  // during a request, by a break or a missing response
+constexpr int kReservedForFirstConnections = 16;     // descriptors kept for targets without a connection
 constexpr int kReservedForOthers = 8;  // descriptors never used here: the change log has to be reachable
 constexpr Micros kConnectBackoff = 2'000'000;    // after a target refused a further connection
 constexpr Micros kMaxResponseStall = 1'000'000;  // in the middle of a response, which is then considered lost
 constexpr Micros kUnresponsiveAfter = 400'000;   // without a byte while attempts are open
 constexpr Micros kSuspectAfterSilence = 200'000;  // an attempt was cancelled after so long without a byte
-constexpr Micros kIdleMargin =
-    1'000'000;  // idle connections close this long before the other side would close them
+constexpr Micros kIdleMargin = 1'000'000;  // idle connections close this long before the other side's timeout
 constexpr Micros kSweepInterval = 250'000;
 // Ids of cancelled requests on one connection, whose responses may still arrive there. A connection with more
 // of them gets no new attempts and closes once nothing is open on it.
--- a/tests/daemon/connections_test.cpp
+++ b/tests/daemon/connections_test.cpp
@@ -1,5 +1,4 @@
-// Stories of clients' connections and of what crosses their ends, on a connection manager whose loop the test
-// runs.
+// Client connections, and requests that cross their close, on a connection manager whose loop the test runs.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <netinet/tcp.h>
@@ -14,19 +13,19 @@
 
 namespace {
 
-// An answer that waits at the proxy for the most part where its client's receive buffer is small.
-const std::string kLargeAnswer(200'000, 'x');
+// A response of which most waits at the proxy if its client's receive buffer is small.
+const std::string kLargeResponse(200'000, 'x');
 constexpr int kSmallWindow = 4'096;  // bytes
 
-// A connection manager with real connections. The test alone runs its loop, so that what crosses does so
-// exactly when it is said.
+// A connection manager with real connections. Only the test runs its loop, so that it decides exactly when
+// requests cross a close.
 struct ManagedConnections {
     struct RecordingConnection : net::ClientConnection {
         ManagedConnections& managed;
         explicit RecordingConnection(ManagedConnections& h) : managed(h) { managed.accepted.push_back(this); }
         void on_data(net::Stream&, std::string_view bytes) override {
             managed.received += bytes;
-            if (managed.answers)
+            if (managed.respond)
                 for (const char byte : bytes)
                     if (byte == '.') stream()->write("answer ");
             managed.manager.set_state(
@@ -42,7 +41,7 @@
         : request_timeout(request_timeout), settle(settle) {}
     net::Micros request_timeout, settle;
     std::function<void()> on_first_closed;
-    bool answers = false;   // each '.' read with a write of its own
+    bool respond = false;   // each '.' that is read, with a write of its own
     bool overlaps = false;  // clients send requests while others are open
     net::Loop loop;
     std::string received;
@@ -55,12 +54,13 @@
         {.request = request_timeout, .idle = 60'000'000, .write = 60'000'000, .settle = settle},
         [this] { return std::make_unique<RecordingConnection>(*this); }};
 
-    // The client of a connection that has ended behind an answer, of which the most is still at the proxy.
-    Wire ended_behind_large_answer() {
+    // Returns the client of a connection that was closed after a response, of which most is still at the
+    // proxy.
+    Wire closed_after_large_response() {
         Wire client = Wire::to(manager.port(), kSmallWindow);
         client.send("a.");
         until([&] { return received == "a."; });
-        accepted[0]->stream()->write(kLargeAnswer);
+        accepted[0]->stream()->write(kLargeResponse);
         manager.close(*accepted[0], net::CloseReason::request_timeout);
         return client;
     }
@@ -75,18 +75,20 @@
 
 }  // namespace
 
-// Guards: a listener that closes resets who has connected and sent a request, and was not accepted yet.
+// Guards against a listener that resets, when it closes, connections that have sent a request but are not
+// accepted yet.
 TEST_CASE("who waits in the listener's queue when it closes is taken first") {
     ManagedConnections managed;
-    Wire waiting = Wire::to(managed.manager.port()), behind = Wire::to(managed.manager.port());
-    waiting.send("a."), behind.send("b.");
+    Wire first = Wire::to(managed.manager.port()), second = Wire::to(managed.manager.port());
+    first.send("a."), second.send("b.");
     managed.manager.stop_listening(false);
     managed.until([&] { return managed.received.size() == 4; });
     CHECK(managed.closed == 0);
     CHECK_THROWS(Wire::to(managed.manager.port()));
 }
 
-// Guards: where another process listens on the same socket, the queue is that one's.
+// Guards against accepting connections from a queue that another process with the same socket continues to
+// serve.
 TEST_CASE("on a socket that another process listens on too the queue is left to it") {
     Peer shared;
     ManagedConnections managed;
@@ -101,8 +103,9 @@
     CHECK(managed.received.empty());
 }
 
-// Guards: a close over bytes that were not read resets the connection, and takes with it what the client had
-// not read so far. A connection is half-closed, what crosses is thrown away, and it ends when the client has.
+// Guards against a close with unread bytes: it resets the connection, and the client loses what it has not
+// read so far. Instead, the connection is half-closed, crossing bytes are discarded, and it ends when the
+// client has closed.
 TEST_CASE("a request that crosses the end of a resting connection resets nothing and is not read") {
     ManagedConnections managed;
     Wire client = Wire::to(managed.manager.port());
@@ -111,7 +114,7 @@
     managed.accepted[0]->stream()->write("answer");
     managed.manager.set_draining(true);
     managed.until([&] { return client.readable(); });
-    client.send("b.");  // crosses: the end is on its way already
+    client.send("b.");  // crosses the half-close, which has been sent already
     managed.until([&] {
         uv_run(managed.loop.raw(), UV_RUN_NOWAIT);
         return managed.closed == 1;
@@ -123,25 +126,25 @@
     managed.until([&] { return managed.manager.connection_count() == 0; });
 }
 
-// Guards: between the last look for unread bytes and the end on the wire a request may come, which is then
-// lost. libuv half-closes in a later turn; a process that is stopped in between ends over what came
-// meanwhile.
+// Guards against the loss of a request that arrives between the last check for unread bytes and the
+// half-close. libuv half-closes in a later iteration; a process that is stalled in between closes over bytes
+// that arrived meanwhile.
 TEST_CASE("the end is on its way at once, in the call that decided it") {
     ManagedConnections managed;
     Wire client = Wire::to(managed.manager.port());
     client.send("a.");
     managed.until([&] { return managed.received == "a."; });
-    managed.manager.set_draining(true);  // and no turn of the loop
+    managed.manager.set_draining(true);  // and no iteration of the loop
     CHECK(client.ends_in_order());
     client.close();
     managed.until([&] { return managed.manager.connection_count() == 0; });
 }
 
-// Guards: bytes that have come are a request, also while nobody has read them.
+// Guards against closing a connection on which a request has arrived but is not read yet.
 TEST_CASE("a resting connection with unread bytes is not ended, nor is half a request") {
     ManagedConnections managed;
-    Wire client = Wire::to(managed.manager.port()), half = Wire::to(managed.manager.port());
-    client.send("a."), half.send("b");
+    Wire client = Wire::to(managed.manager.port()), partial = Wire::to(managed.manager.port());
+    client.send("a."), partial.send("b");
     managed.until([&] { return managed.received.size() == 3; });
     client.send("c.");
     REQUIRE(managed.manager.has_pending_input());
@@ -149,14 +152,15 @@
     managed.manager.close_all_idle();
     CHECK(managed.closed == 0);
     managed.until([&] { return managed.received.ends_with("c."); });
-    CHECK(managed.closed == 1);  // it rests, and is sent away
+    CHECK(managed.closed == 1);  // it is idle, and is closed
     CHECK(managed.manager.has_pending_input());
-    half.send(".");
+    partial.send(".");
     managed.until([&] { return managed.closed == 2; });
     CHECK_FALSE(managed.manager.has_pending_input());
 }
 
-// Guards: all resting connections were looked at first and ended afterwards, over what came in between.
+// Guards against checking all idle connections first and closing them afterwards, over bytes that arrived in
+// between.
 TEST_CASE("a request that comes while other connections are ended is answered first") {
     ManagedConnections managed;
     Wire first = Wire::to(managed.manager.port()), second = Wire::to(managed.manager.port());
@@ -170,7 +174,7 @@
     CHECK(managed.manager.discard_metrics().at_half_close == 0);
 }
 
-// Guards: a connection whose time for a request was over was ended over a request that had come whole.
+// Guards against closing a connection at its request timeout although the complete request has arrived.
 TEST_CASE("a request that comes whole as its time ends is read, half a one does not stay") {
     constexpr net::Micros kRequestTimeout = 50'000;
     for (const std::string text : {"b.", "b"}) {
@@ -180,54 +184,55 @@
         managed.until([&] { return managed.accepted.size() == 2; });
         managed.on_first_closed = [&] { second.send(text); };
         managed.until([&] { return managed.received == text; });
-        const bool whole = text.ends_with('.');
-        CHECK(managed.manager.count(net::ConnectionState::idle) == (whole ? 1 : 0));
-        if (!whole) managed.until([&] { return managed.closed == 2; });
+        const bool complete = text.ends_with('.');
+        CHECK(managed.manager.count(net::ConnectionState::idle) == (complete ? 1 : 0));
+        if (!complete) managed.until([&] { return managed.closed == 2; });
         CHECK(managed.manager.discard_metrics().at_half_close == 0);
     }
 }
 
-// Guards: a client that never stops sending holds its connection by what is unread at each look.
+// Guards against a client that keeps its connection open by never stopping to send, so that each check finds
+// unread bytes.
 TEST_CASE("a client that goes on sending parts of a request is ended in time") {
     constexpr net::Micros kRequestTimeout = 50'000;
     ManagedConnections managed(kRequestTimeout);
-    Wire first = Wire::to(managed.manager.port()), dribbling = Wire::to(managed.manager.port());
+    Wire first = Wire::to(managed.manager.port()), sending = Wire::to(managed.manager.port());
     managed.until([&] { return managed.accepted.size() == 2; });
-    dribbling.send("b");
+    sending.send("b");
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(500);
     managed.until([&] {
-        if (managed.closed < 2) dribbling.send("b");
+        if (managed.closed < 2) sending.send("b");
         return managed.closed == 2;
     });
     CHECK(std::chrono::steady_clock::now() < end);
 }
 
-// Guards: the system sends no more answers than the client has acknowledged room for, so the answers to what
-// was read last kept their connection from its end, at one look after another.
+// Guards against a connection that is not closed at one check after another, because the responses to the
+// requests read last are unsent: the system sends no more than the client has acknowledged room for.
 TEST_CASE("a client that has many requests open is ended at the first look that the end of a drain takes") {
     using sumackeel::admin::DrainSchedule;
     constexpr net::Micros kRequestTimeout = 50'000;
-    constexpr int kRequests = 40;  // the system sends ten answers before it hears of the client
+    constexpr int kRequests = 40;  // the system sends ten responses before it gets an acknowledgement
     ManagedConnections managed(kRequestTimeout);
-    managed.answers = true;
-    Wire asking = Wire::to(managed.manager.port()), silent = Wire::to(managed.manager.port());
-    asking.send("a.");
+    managed.respond = true;
+    Wire requesting = Wire::to(managed.manager.port()), silent = Wire::to(managed.manager.port());
+    requesting.send("a.");
     std::string requests;
     for (int i = 0; i < kRequests; ++i) requests += "b.";
-    // In the same look at the timeouts, ahead of the idle ones.
+    // In the same check of the timeouts, before the idle connections.
     managed.on_first_closed = [&] {
-        asking.send(requests);
+        requesting.send(requests);
         managed.manager.set_drain(DrainSchedule(managed.loop.clock().now() - 2 * DrainSchedule::kForced));
         managed.manager.set_draining(true);
         CHECK(managed.closed == 1);
     };
     managed.until([&] { return managed.closed >= 1; });
     CHECK(managed.closed == 2);
-    CHECK(asking.rest().size() == (1 + kRequests) * std::string("answer ").size());
+    CHECK(requesting.rest().size() == (1 + kRequests) * std::string("answer ").size());
 }
 
-// Guards: a client with overlapping requests had an earlier answer just now, and its next request crossed the
-// end that came behind the last one.
+// Guards against closing a connection right after the last response to a client with overlapping requests: it
+// may just have received an earlier response, and its next request crosses the close.
 TEST_CASE("a connection with overlapping requests is ended once it has settled, or there is no time left") {
     using sumackeel::admin::DrainSchedule;
     constexpr net::Micros kRequestTimeout = 60'000'000, kLong = 60'000'000, kShort = 50'000;
@@ -256,15 +261,15 @@
     SUBCASE("it is ended when it has settled") {
         ManagedConnections managed(kRequestTimeout, kShort);
         Wire client = Wire::to(managed.manager.port());
-        const net::Micros began = managed.loop.clock().now();
+        const net::Micros started_at = managed.loop.clock().now();
         draining(managed, client);
         managed.until([&] { return managed.closed == 1; });
-        CHECK(managed.loop.clock().now() - began >= kShort);
+        CHECK(managed.loop.clock().now() - started_at >= kShort);
     }
 }
 
-// Guards: what came while a connection's end was tried and given up was dropped, and the connection then
-// ended before its client had sent it again.
+// Guards against a close before the client has retransmitted bytes that were dropped during an interrupted
+// close.
 TEST_CASE("a connection is not ended over a request that its client has still to send again") {
     ManagedConnections managed;
     Wire client = Wire::to(managed.manager.port());
@@ -280,8 +285,8 @@
     managed.until([&] { return managed.closed == 1; });
 }
 
-// Guards: the process stands still between the start of a connection's end and the end; a request that came
-// in between was dropped, and the connection ended over it.
+// Guards against the loss of a request that was dropped because the process was stalled in the middle of a
+// close.
 TEST_CASE("an end is given up over a request that was dropped as it was tried, while there is time") {
     using sumackeel::admin::DrainSchedule;
     ManagedConnections managed;
@@ -315,7 +320,7 @@
     }
 }
 
-// Guards: what counts as dropped puts a connection's end off, and acknowledgements would count.
+// Guards against acknowledgements that count as dropped data, which would delay the close.
 TEST_CASE("a client that only acknowledges does not put the end of its connection off") {
     ManagedConnections managed;
     Wire client = Wire::to(managed.manager.port());
@@ -334,7 +339,7 @@
     CHECK(client.ends_in_order());
 }
 
-// Guards: an end that was given up with nothing dropped stayed untried for the time of a retransmission.
+// Guards against waiting for a retransmission after an interrupted close that dropped nothing.
 TEST_CASE("behind a receive block that dropped nothing the next end is not put off") {
     ManagedConnections managed;
     Wire client = Wire::to(managed.manager.port());
@@ -345,12 +350,12 @@
     CHECK(managed.closed == 1);
 }
 
-// Guards: a client's system held a second request back until the first was acknowledged, and heard of that
-// with the end behind the first one's answer.
+// Guards against losing a second request that the client's system holds back until the first is acknowledged,
+// if that acknowledgement comes together with the response to the first and the close.
 TEST_CASE("a request that Nagle's algorithm holds back is read before the connection ends with an answer") {
-    constexpr int kExchanges = 32;  // until the system waits for an answer to acknowledge a request with
+    constexpr int kExchanges = 32;  // until the system delays acknowledgements to send them with a response
     ManagedConnections managed;
-    managed.answers = true;
+    managed.respond = true;
     Wire client = Wire::to(managed.manager.port());
     for (int i = 1; i <= kExchanges; ++i) {
         client.send("x.");
@@ -366,49 +371,50 @@
     managed.until([&] { return managed.received.ends_with("ab"); });
 }
 
-// Guards: a connection that had ended was closed 0.5 s later, also where its last answer was still on its
-// way. What its client sent next reset it, and the answer's rest was lost.
+// Guards against closing a half-closed connection after 0.5 s although its last response is still being sent:
+// the client's next bytes would reset it, and the rest of the response would be lost.
 TEST_CASE("the last answer of a connection that has ended reaches a client that reads slowly") {
-    constexpr auto kBeyondHalfClosed = std::chrono::milliseconds(700);
+    constexpr auto kLongerThanHalfClosedTimeout = std::chrono::milliseconds(700);
     ManagedConnections managed;
-    Wire client = managed.ended_behind_large_answer();
-    const auto end = std::chrono::steady_clock::now() + kBeyondHalfClosed;
+    Wire client = managed.closed_after_large_response();
+    const auto end = std::chrono::steady_clock::now() + kLongerThanHalfClosedTimeout;
     managed.until([&] { return std::chrono::steady_clock::now() >= end; });
     client.send("b.");
     CHECK(client.ends_in_order());
-    CHECK(client.bytes(kLargeAnswer.size()) == kLargeAnswer);
+    CHECK(client.bytes(kLargeResponse.size()) == kLargeResponse);
 }
 
-// Guards: the same where it was closed to make room.
+// Guards against the same when a half-closed connection is evicted to make room.
 TEST_CASE("who was sent away makes no room while its last answer is on its way") {
     ManagedConnections managed;
-    Wire slow = managed.ended_behind_large_answer();
-    std::vector<Wire> resting;
+    Wire slow = managed.closed_after_large_response();
+    std::vector<Wire> idle;
     for (int i = 1; i < 8; ++i) {
-        resting.push_back(Wire::to(managed.manager.port()));
-        resting.back().send(".");
+        idle.push_back(Wire::to(managed.manager.port()));
+        idle.back().send(".");
         managed.until([&] { return managed.received.size() == 2 + static_cast<std::size_t>(i); });
     }
-    Wire fresh = Wire::to(managed.manager.port());
-    fresh.send("new.");
+    Wire newcomer = Wire::to(managed.manager.port());
+    newcomer.send("new.");
     managed.until([&] { return managed.received.ends_with("new."); });
     slow.send("b.");
     CHECK(slow.ends_in_order());
-    CHECK(slow.bytes(kLargeAnswer.size()) == kLargeAnswer);
+    CHECK(slow.bytes(kLargeResponse.size()) == kLargeResponse);
 }
 
-// Guards: one that was sent away holds a descriptor until it has ended too; a client that comes needs it now.
+// Guards against half-closed connections that keep their descriptors until the client has closed, while a new
+// client needs one now.
 TEST_CASE("who was sent away makes room at once for who comes") {
     ManagedConnections managed;
     std::vector<Wire> old;
     for (int i = 0; i < 8; ++i) old.push_back(Wire::to(managed.manager.port()));
-    for (Wire& one : old) one.send(".");
+    for (Wire& client : old) client.send(".");
     managed.until([&] { return managed.received.size() == 8; });
     managed.manager.set_draining(true);
     managed.manager.set_draining(false);
     REQUIRE(managed.manager.connection_count() == 8);
-    Wire fresh = Wire::to(managed.manager.port());
-    fresh.send("new.");
+    Wire newcomer = Wire::to(managed.manager.port());
+    newcomer.send("new.");
     managed.until([&] { return managed.received.ends_with("new."); });
-    CHECK(managed.manager.connection_count() == 8);  // the others are still about to leave
+    CHECK(managed.manager.connection_count() == 8);  // the others are still half-closed
 }
