--- a/src/endpoints/endpoint_view.h
+++ b/src/endpoints/endpoint_view.h
@@ -1,13 +1,13 @@
-// The fleet as this instance knows it, as one value: for each member the newest word on it, where that word
-// came from, and when the member last answered us; with the purges that still matter. Events and times go in,
-// what the decision module may use comes out. Nothing here reads a clock, a file or a socket.
+// The endpoints that this instance knows: for each the newest record, the source of that record and the time
+// of the endpoint's last response; together with the purges that are still in effect. Takes events and times,
+// and returns what the routing module may use. Nothing here reads a clock, a file or a socket.
 //
-// The merge. Words carry the number of the event that brought them (`seq`). For each member the highest
-// number wins; two words under one number are put in a fixed order, the worse state first, so the order in
-// which words come and how often they come make no difference. A whole list with number S removes whatever
-// has an older word and is not in it, and from then on no word older than S is taken: nothing heard as gone
-// comes back without a newer word. Numbers are those of one change log, or of several that tell the same
-// events.
+// Merging: each record carries the sequence number of its event. For each endpoint the record with the
+// highest number wins; two records with the same number have a fixed order in which the worse state wins, so
+// the result depends neither on the order of arrival nor on repetitions. A full list with sequence number S
+// removes every endpoint that has an older record and is not listed, and from then on records older than S
+// are ignored: an endpoint that was reported as removed returns only with a newer record. Sequence numbers
+// are those of one change log, or of several change logs that carry the same events.
 #pragma once
 
 #include <algorithm>
@@ -24,18 +24,19 @@
 
 namespace sumackeel::endpoints {
 
-// What a word came from, the least trusted first.
+// Where a record came from, the least trusted source first.
 enum class RecordSource { seed, snapshot, watch };
 const char* name_of(RecordSource source);
 
-// One word on one member. Never changed once made, so that a snapshot may share it with another thread.
+// One state of one endpoint. Immutable after construction, so that a snapshot can share it with another
+// thread.
 struct EndpointRecord {
-    std::int64_t sequence = 0;  // 0: a seed list's, older than any event
+    std::int64_t sequence = 0;  // 0: from a seed list, older than any event
     RecordSource source = RecordSource::watch;
     config::LocatedEndpoint located;
-    Micros received_at = 0;  // when; not part of the merge
+    Micros received_at = 0;  // not compared when merging
 
-    // The fixed order of the merge; `heard` and `source` have no part in it.
+    // The order used for merging; `received_at` and `source` are not compared.
     bool supersedes(const EndpointRecord& other) const;
     bool is_equivalent(const EndpointRecord& other) const {
         return !supersedes(other) && !other.supersedes(*this);
@@ -44,151 +45,155 @@
 
 struct KnownEndpoint {
     std::shared_ptr<const EndpointRecord> record;
-    Micros last_response_at = 0;  // when it last answered us; 0: never
+    Micros last_response_at = 0;  // of the endpoint, to this instance; 0: never
 };
 
 struct Purge {
-    std::string object;  // empty: the whole group
+    std::string object;  // empty: the whole purge group
     int purge_group = 0;
-    Micros at = 0;  // of the clock by which the view is told the time
+    Micros at = 0;  // on the clock whose times are passed to the view
 
     bool operator==(const Purge&) const = default;
 };
 
-// A view as it is kept on disk and read back. Ages are counted back from `taken_at`.
+// A view as it is stored on disk. Ages are relative to `taken_at`.
 struct Snapshot {
     std::string site;
     base::UnixTime taken_at;
-    Micros confirmed_age = -1;  // since a live source last confirmed the list; below 0: none ever did
+    Micros confirmed_age = -1;  // since a live source last confirmed the list; below 0: never confirmed
     std::int64_t last_sequence = 0, full_list_sequence = 0, forgotten_through = 0;
-    std::vector<KnownEndpoint> endpoints;  // `answered` as an age: how long ago, below 0: never
-    std::vector<Purge> purges;             // `at` as a Unix time of the clock of `taken_at`
+    std::vector<KnownEndpoint> endpoints;  // `last_response_at` holds an age; below 0: never
+    std::vector<Purge> purges;             // `at` holds a Unix time of the clock of `taken_at`
 };
 
 struct ViewOptions {
     StalenessPolicy staleness;
     int origin_kind = -1, parent_kind = -1;
-    // A whole list that would leave no cache at all is believed only after this long, or once a second source
-    // says the same. 0: at once.
+    // A full list that would leave no pop cache in use is applied only after this time, or once a second
+    // source sends it too. 0: immediately.
     Micros empty_list_delay = 0;
-    Micros purge_retention = 12 * base::kSecond;  // after that no copy from before is about
+    Micros purge_retention = 12 * base::kSecond;  // after this time no copy from before the purge is left
     std::size_t max_endpoints = 100'000;
-    std::size_t max_removed = 16'384;  // members remembered as gone; the oldest go first, and stay gone
+    std::size_t max_removed = 16'384;  // removed endpoints that are remembered; the oldest are evicted first
     std::size_t max_purges = 60'000;
 };
 
-// What became of a change.
 enum class ApplyResult {
     applied,
-    outdated,  // all of it was known, or older than what is known
-    deferred,  // it would empty the fleet and is held back; its purge, if any, was taken
-    full,      // some members found no room
+    outdated,  // everything in it was known, or older than what is known
+    deferred,  // it would leave no pop cache and is held back; its purge, if any, was applied
+    full,      // some endpoints did not fit into the table
 };
 
 class EndpointView {
   public:
-    explicit EndpointView(ViewOptions options = {}) : set_(options) {}
+    explicit EndpointView(ViewOptions options = {}) : options_(options) {}
 
-    // An event of the change log numbered `log`, or of the platform's configuration (log -1).
-    ApplyResult apply(const config::WatchEvent& change, Micros now, int log = -1,
+    // An event of the change log with the index `watch_source`, or of the platform's configuration (-1).
+    ApplyResult apply(const config::WatchEvent& change, Micros now, int watch_source = -1,
                       RecordSource source = RecordSource::watch);
-    // What a file held. `wall_now`: the system's clock, by which the file's age is taken; `now`: of this
-    // program. Members are used by the bands until a live source confirms the list.
+    // Loads a snapshot file. `wall_now`: the system clock, which gives the file's age; `now`: this program's
+    // clock. Until a live source confirms the list, the staleness policy decides how its endpoints are used.
     void load(const Snapshot& saved, base::UnixTime wall_now, Micros now);
-    // Of a file whose age can't be told: nobody is to be used for it, but a drain, a removal and a purge that
-    // were heard bind all the same.
+    // Loads a snapshot whose age can't be determined: no endpoint is used because of it, but its drains,
+    // removals and purges apply.
     void load_warnings(const Snapshot& saved, Micros now);
-    // The last resort: a list that somebody keeps by hand. Its members are used with care where no newer word
-    // is known, or where the saved list has grown too old; never one that was heard to drain or go.
+    // Adds the operator's static fallback list. Its endpoints are used as unverified where no newer record is
+    // known or the snapshot has grown too old; never one that was reported as draining or removed.
     void seed(const config::WatchEvent& list, Micros now);
 
-    // A source that is sure to tell all of the newest list said that it lives.
+    // A source that is known to be current has sent a sign of life.
     void confirm(Micros now);
     void on_response(const std::string& id, Micros now);
-    // A purge that another proxy told.
+    // A purge that another edge proxy reported.
     void add_purge(const Purge& purge, Micros now);
-    // The next changes() tells this member again, changed or not: something outside the view alters it.
-    void mark_changed(const std::string& id) { touched_.insert(id), retold_.insert(id); }
+    // The next take_changes() returns this endpoint even if its record is the same: a state outside the view
+    // has changed how it is used.
+    void mark_changed(const std::string& id) { changed_ids_.insert(id), forced_ids_.insert(id); }
     void mark_all_changed() {
         for (const auto& [id, member] : endpoints_) mark_changed(id);
     }
-    // What time alone brings: doubts that end, purges that no longer matter.
+    // Applies what is due by time alone: deferred updates, and purges that expire.
     void advance(Micros now);
 
-    // Members whose word, or what they may be given, changed since this was asked last, in order of name. One
-    // that may be given nothing is told as gone, or as draining where that was the word.
+    // Endpoints whose record or trust has changed since the last call, ordered by name. One with no trust is
+    // returned as removed, or as draining where its record says so.
     std::vector<config::LocatedEndpoint> take_changes(Micros now);
-    // When pass() and changes() next have something to do by time alone.
+    // When advance() and take_changes() next have something to do by time alone.
     std::optional<Micros> next_deadline(Micros now) const;
 
     Trust trust_of(const std::string& id, Micros now) const;
     const KnownEndpoint* find(const std::string& id) const;
-    // Time since the list was last sure; below 0: it never was.
-    Micros age(Micros now) const { return sure_at_ > 0 ? now - sure_at_ : -1; }
-    bool is_live() const { return live_; }  // a live source confirmed it since the start
-    // The number to take the change log up behind after a restart: what is doubted is asked for again.
+    // Time since the list was last confirmed; below 0: never.
+    Micros age(Micros now) const { return confirmed_at_ > 0 ? now - confirmed_at_ : -1; }
+    bool is_live() const { return live_; }  // confirmed by a live source since the start
+    // The sequence number after which to resume the change log on a restart: a deferred update is requested
+    // again.
     std::int64_t resume_after() const {
-        return deferred_update_ ? deferred_update_->change.sequence - 1 : last_seq_;
+        return deferred_update_ ? deferred_update_->change.sequence - 1 : last_sequence_;
     }
-    std::int64_t last_sequence() const { return last_seq_; }
-    // The newest list that any member is known from, a seed list too: for people, not to resume behind.
-    std::int64_t newest_list() const { return std::max(last_seq_, seed_seq_); }
+    std::int64_t last_sequence() const { return last_sequence_; }
+    // Sequence number of the newest list, seed lists included: for display only, not for resuming a change
+    // log.
+    std::int64_t newest_list() const { return std::max(last_sequence_, seed_sequence_); }
     std::size_t size() const { return endpoints_.size(); }
-    std::size_t count(Trust use, Micros now) const;
+    std::size_t count(Trust trust, Micros now) const;
     bool has_deferred_update() const { return deferred_update_.has_value(); }
     const std::map<std::string, KnownEndpoint>& endpoints() const { return endpoints_; }
     std::vector<Purge> purges() const;
 
     Snapshot snapshot(const std::string& site, base::UnixTime wall_now, Micros now) const;
-    // Two views that know the same; times at which words came and members answered have no part in it.
+    // Whether both views hold the same records and purges; times of receipt and of responses are not
+    // compared.
     bool same_knowledge(const EndpointView& other) const;
 
   private:
     struct DeferredUpdate {
         config::WatchEvent change;
-        int log = -1;
+        int watch_source = -1;
         Micros since = 0;
     };
     using PurgesByAge = std::set<std::pair<Micros, std::string>>;
-    struct KeptPurge {
+    struct StoredPurge {
         Purge purge;
-        std::pair<Micros, std::string> age;  // its place in the order of age
+        std::pair<Micros, std::string> age;  // its key in purges_by_age_
     };
-    struct Offered {
-        std::shared_ptr<const EndpointRecord> word;
-        Trust use = Trust::none;
+    struct Reported {
+        std::shared_ptr<const EndpointRecord> record;
+        Trust trust = Trust::none;
     };
 
-    void merge(std::shared_ptr<const EndpointRecord> word, bool& news, bool& no_room);
-    void merge_fleet(const config::WatchEvent& change, Micros now, RecordSource source, bool& news,
-                     bool& no_room);
-    void remove_unnamed(const config::WatchEvent& whole);
-    void put_purge(const Purge& purge, Micros now, bool& news);
+    void merge(std::shared_ptr<const EndpointRecord> record, bool& updated, bool& table_full);
+    void merge_endpoints(const config::WatchEvent& change, Micros now, RecordSource source, bool& updated,
+                         bool& table_full);
+    void remove_unlisted(const config::WatchEvent& full_list);
+    void insert_purge(const Purge& purge, Micros now, bool& updated);
     void load_purges(const Snapshot& saved, Micros now);
     void drop_oldest_purge();
-    bool empties(const config::WatchEvent& change) const;
-    bool is_cache(const EndpointRecord& word) const;
-    Trust use(const KnownEndpoint& member, Micros now) const;
-    bool address_taken(const EndpointRecord& word) const;
-    void own_address(const std::shared_ptr<const EndpointRecord>& word);
-    void forget_gone();
-
-    ViewOptions set_;
+    bool would_remove_last_cache(const config::WatchEvent& change) const;
+    bool is_cache(const EndpointRecord& record) const;
+    Trust evaluate_trust(const KnownEndpoint& member, Micros now) const;
+    bool is_address_reassigned(const EndpointRecord& record) const;
+    void claim_address(const std::shared_ptr<const EndpointRecord>& record);
+    void forget_removed();
+
+    ViewOptions options_;
     std::map<std::string, KnownEndpoint> endpoints_;
     std::map<std::string, std::shared_ptr<const EndpointRecord>>
-        owners_;  // address to the newest word that gave it
-    std::map<std::string, Offered> offered_;
-    std::set<std::string> touched_, retold_;
-    bool all_touched_ = false;
-    Micros looked_ = 0;  // the last changes()
-    std::set<std::string> seeds_;
-    std::map<std::string, KeptPurge> purges_;
+        address_owners_;  // by address: the newest record that has it
+    std::map<std::string, Reported> reported_;
+    std::set<std::string> changed_ids_, forced_ids_;
+    bool all_changed_ = false;
+    Micros changes_taken_at_ = 0;  // the last take_changes()
+    std::set<std::string> seeded_ids_;
+    std::map<std::string, StoredPurge> purges_;
     PurgesByAge purges_by_age_;
     std::optional<DeferredUpdate> deferred_update_;
-    std::int64_t last_seq_ = 0, whole_at_ = 0, seed_seq_ = 0;
-    std::int64_t forgotten_to_ = 0;  // words up to here on members not known are of forgotten gone ones
-    std::size_t gone_ = 0;
-    Micros sure_at_ = 0;
+    std::int64_t last_sequence_ = 0, full_list_sequence_ = 0, seed_sequence_ = 0;
+    // Records of unknown endpoints up to this number belong to removed endpoints that were evicted.
+    std::int64_t forgotten_through_ = 0;
+    std::size_t removed_count_ = 0;
+    Micros confirmed_at_ = 0;
     bool live_ = false;
 };
 
--- a/src/endpoints/snapshot_codec.cpp
+++ b/src/endpoints/snapshot_codec.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 constexpr std::string_view kMagic = "SUMLIST\n";
-constexpr int kLevel = 1;  // zstd's fastest usual level: lists are small and written often
-constexpr std::size_t kMostMembers = 200'000, kMostPurges = 200'000;
-constexpr std::size_t kLongestName = 256, kMostNames = 10'000;
+constexpr int kCompressionLevel = 1;  // zstd's fastest regular level: snapshots are small and written often
+constexpr std::size_t kMaxEndpoints = 200'000, kMaxPurges = 200'000;
+constexpr std::size_t kMaxNameLength = 256, kMaxNames = 10'000;
 
 template <typename T>
 void put(std::string& into, T value) {
@@ -36,142 +36,147 @@
     return value;
 }
 
-const std::string& name_at(const std::vector<std::string>& names, int place) {
+const std::string& name_at(const std::vector<std::string>& names, int index) {
     static const std::string none;
-    return place >= 0 && place < static_cast<int>(names.size()) ? names[place] : none;
+    return index >= 0 && index < static_cast<int>(names.size()) ? names[index] : none;
 }
 
-// Where a zone or kind stands among the names. Fixed ones are the settings'; others grow with what is met.
-class Places {
+// Looks up the numbers of zones and kinds by name. With constant tables, those of the settings, unknown names
+// are an error; extensible tables get a new entry.
+class NameIndex {
   public:
-    explicit Places(const NameTables& fixed) : known_(fixed) {}
-    explicit Places(NameTables& growing) : known_(growing), growing_(&growing) {}
+    explicit NameIndex(const NameTables& tables) : tables_(tables) {}
+    explicit NameIndex(NameTables& extensible) : tables_(extensible), extensible_(&extensible) {}
 
-    // False: a name that is given, but not known.
-    bool zone(const std::string& name, int& place) const {
-        return find(known_.zones, growing_ ? &growing_->zones : nullptr, name, place);
+    // False: the name is neither empty nor known.
+    bool zone(const std::string& name, int& index) const {
+        return find(tables_.zones, extensible_ ? &extensible_->zones : nullptr, name, index);
     }
-    bool kind(const std::string& name, int& place) const {
-        return find(known_.kinds, growing_ ? &growing_->kinds : nullptr, name, place);
+    bool kind(const std::string& name, int& index) const {
+        return find(tables_.kinds, extensible_ ? &extensible_->kinds : nullptr, name, index);
     }
 
   private:
-    static bool find(const std::vector<std::string>& names, std::vector<std::string>* growing,
-                     const std::string& name, int& place) {
+    static bool find(const std::vector<std::string>& names, std::vector<std::string>* extensible,
+                     const std::string& name, int& index) {
         const auto found = std::find(names.begin(), names.end(), name);
-        place = found == names.end() ? -1 : static_cast<int>(found - names.begin());
-        if (name.empty() || place >= 0) return true;
-        if (!growing || growing->size() >= kMostNames) return false;
-        growing->push_back(name);
-        place = static_cast<int>(growing->size()) - 1;
+        index = found == names.end() ? -1 : static_cast<int>(found - names.begin());
+        if (name.empty() || index >= 0) return true;
+        if (!extensible || extensible->size() >= kMaxNames) return false;
+        extensible->push_back(name);
+        index = static_cast<int>(extensible->size()) - 1;
         return true;
     }
 
-    const NameTables& known_;
-    NameTables* growing_ = nullptr;
+    const NameTables& tables_;
+    NameTables* extensible_ = nullptr;
 };
 
-struct Broken : std::runtime_error {
+struct MalformedSnapshot : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-void need(bool holds, const char* what) {
-    if (!holds) throw Broken(what);
+void require(bool holds, const char* what) {
+    if (!holds) throw MalformedSnapshot(what);
 }
 
-const msgpack::object_array& array_of(const msgpack::object& object, std::size_t least, std::size_t most,
-                                      const char* what) {
-    need(object.type == msgpack::type::ARRAY, what);
-    need(object.via.array.size >= least && object.via.array.size <= most, what);
+const msgpack::object_array& array_of(const msgpack::object& object, std::size_t min_size,
+                                      std::size_t max_size, const char* what) {
+    require(object.type == msgpack::type::ARRAY, what);
+    require(object.via.array.size >= min_size && object.via.array.size <= max_size, what);
     return object.via.array;
 }
 
-std::string name_in(const msgpack::object& object) {
+std::string decode_name(const msgpack::object& object) {
     auto text = object.as<std::string>();
-    need(text.size() <= kLongestName, "a name that is too long");
-    need(text.find_first_of(std::string_view("\r\n\0", 3)) == std::string::npos, "a name that can't be used");
+    require(text.size() <= kMaxNameLength, "name too long");
+    require(text.find_first_of(std::string_view("\r\n\0", 3)) == std::string::npos,
+            "name with a line break or a zero byte");
     return text;
 }
 
-KnownEndpoint member_in(const msgpack::object& object, const Places& places, bool& known) {
-    const auto& at = array_of(object, 10, 32, "a member that is no list of ten");
-    EndpointRecord word;
-    Endpoint& entry = word.located.endpoint;
-    entry.name = name_in(at.ptr[0]);
-    need(!entry.name.empty() && entry.name.find_first_of(" ,=") == std::string::npos,
-         "a member's name that can't be used");
-    word.located.address = name_in(at.ptr[1]);
-    known = places.zone(name_in(at.ptr[2]), entry.zone);
-    known = places.kind(name_in(at.ptr[3]), entry.kind) && known;
+KnownEndpoint decode_endpoint(const msgpack::object& object, const NameIndex& name_index, bool& known) {
+    const auto& at = array_of(object, 10, 32, "endpoint is not an array of 10 or more values");
+    EndpointRecord record;
+    Endpoint& entry = record.located.endpoint;
+    entry.name = decode_name(at.ptr[0]);
+    require(!entry.name.empty() && entry.name.find_first_of(" ,=") == std::string::npos,
+            "endpoint name is empty or has a space, a comma or an equals sign");
+    record.located.address = decode_name(at.ptr[1]);
+    known = name_index.zone(decode_name(at.ptr[2]), entry.zone);
+    known = name_index.kind(decode_name(at.ptr[3]), entry.kind) && known;
     entry.cell = at.ptr[4].as<std::int64_t>();
     entry.weight = at.ptr[5].as<double>();
-    need(std::isfinite(entry.weight) && entry.weight >= 0, "a weight that is none");
+    require(std::isfinite(entry.weight) && entry.weight >= 0, "invalid endpoint weight");
     const int state = at.ptr[6].as<int>();
-    need(state >= 0 && state <= 2, "a state that is none");
+    require(state >= 0 && state <= 2, "invalid endpoint state");
     entry.state = static_cast<EndpointState>(state);
     entry.started_at = at.ptr[7].as<std::int64_t>();
-    word.sequence = at.ptr[8].as<std::int64_t>();
-    need(entry.started_at >= 0 && word.sequence >= 0, "a number below 0");
-    word.source = RecordSource::snapshot;
-    const Micros answered = std::clamp<Micros>(at.ptr[9].as<std::int64_t>(), -1, kMaxSnapshotAge);
-    return {std::make_shared<const EndpointRecord>(std::move(word)), answered};
+    record.sequence = at.ptr[8].as<std::int64_t>();
+    require(entry.started_at >= 0 && record.sequence >= 0, "negative start time or sequence number");
+    record.source = RecordSource::snapshot;
+    const Micros response_age = std::clamp<Micros>(at.ptr[9].as<std::int64_t>(), -1, kMaxSnapshotAge);
+    return {std::make_shared<const EndpointRecord>(std::move(record)), response_age};
 }
 
-Snapshot list_in(const msgpack::object& root, const Places& places, std::size_t& left_out) {
-    need(root.type == msgpack::type::MAP, "no map at the top");
-    Snapshot list;
+Snapshot decode_snapshot(const msgpack::object& root, const NameIndex& name_index, std::size_t& left_out) {
+    require(root.type == msgpack::type::MAP, "top-level value is not a map");
+    Snapshot snapshot;
     for (std::uint32_t i = 0; i < root.via.map.size; ++i) {
         const auto& item = root.via.map.ptr[i];
         const auto key = item.key.as<std::string_view>();
-        if (key == "site") list.site = name_in(item.val);
-        if (key == "taken_at") list.taken_at = {item.val.as<std::int64_t>()};
-        if (key == "sure_age") list.confirmed_age = item.val.as<std::int64_t>();
-        if (key == "last_seq") list.last_sequence = item.val.as<std::int64_t>();
-        if (key == "whole_at") list.full_list_sequence = item.val.as<std::int64_t>();
-        if (key == "forgotten_to") list.forgotten_through = item.val.as<std::int64_t>();
+        if (key == "site") snapshot.site = decode_name(item.val);
+        if (key == "taken_at") snapshot.taken_at = {item.val.as<std::int64_t>()};
+        if (key == "sure_age") snapshot.confirmed_age = item.val.as<std::int64_t>();
+        if (key == "last_seq") snapshot.last_sequence = item.val.as<std::int64_t>();
+        if (key == "whole_at") snapshot.full_list_sequence = item.val.as<std::int64_t>();
+        if (key == "forgotten_to") snapshot.forgotten_through = item.val.as<std::int64_t>();
         if (key == "members") {
-            const auto& members = array_of(item.val, 0, kMostMembers, "too many members, or no list");
-            list.endpoints.reserve(members.size);
+            const auto& members =
+                array_of(item.val, 0, kMaxEndpoints, "endpoints are not an array, or too many");
+            snapshot.endpoints.reserve(members.size);
             for (std::uint32_t m = 0; m < members.size; ++m) {
                 bool known = true;
-                KnownEndpoint member = member_in(members.ptr[m], places, known);
-                known ? list.endpoints.push_back(std::move(member)) : static_cast<void>(++left_out);
+                KnownEndpoint member = decode_endpoint(members.ptr[m], name_index, known);
+                known ? snapshot.endpoints.push_back(std::move(member)) : static_cast<void>(++left_out);
             }
         }
         if (key == "purges") {
-            const auto& purges = array_of(item.val, 0, kMostPurges, "too many purges, or no list");
+            const auto& purges = array_of(item.val, 0, kMaxPurges, "purges are not an array, or too many");
             for (std::uint32_t p = 0; p < purges.size; ++p) {
-                const auto& at = array_of(purges.ptr[p], 3, 8, "a purge that is no list of three");
-                list.purges.push_back(
-                    {name_in(at.ptr[0]), at.ptr[1].as<int>(), at.ptr[2].as<std::int64_t>()});
+                const auto& at = array_of(purges.ptr[p], 3, 8, "purge is not an array of 3 or more values");
+                snapshot.purges.push_back(
+                    {decode_name(at.ptr[0]), at.ptr[1].as<int>(), at.ptr[2].as<std::int64_t>()});
             }
         }
     }
-    need(list.taken_at.micros > 0 && list.confirmed_age >= -1 && list.confirmed_age <= kMaxSnapshotAge,
-         "a time that is none");
-    need(list.last_sequence >= 0 && list.full_list_sequence >= 0 &&
-             list.full_list_sequence <= list.last_sequence && list.forgotten_through >= 0,
-         "a number of the change log that is none");
-    return list;
+    require(snapshot.taken_at.micros > 0 && snapshot.confirmed_age >= -1 &&
+                snapshot.confirmed_age <= kMaxSnapshotAge,
+            "invalid snapshot time or confirmation age");
+    require(snapshot.last_sequence >= 0 && snapshot.full_list_sequence >= 0 &&
+                snapshot.full_list_sequence <= snapshot.last_sequence && snapshot.forgotten_through >= 0,
+            "invalid change log sequence number");
+    return snapshot;
 }
 
-std::string unpacked(std::string_view payload, std::size_t length) {
-    std::string plain(length, '\0');
-    const std::size_t got = ZSTD_decompress(plain.data(), plain.size(), payload.data(), payload.size());
-    need(!ZSTD_isError(got) && got == length, "what is packed can't be unpacked");
-    return plain;
+std::string decompress(std::string_view payload, std::size_t length) {
+    std::string uncompressed(length, '\0');
+    const std::size_t got =
+        ZSTD_decompress(uncompressed.data(), uncompressed.size(), payload.data(), payload.size());
+    require(!ZSTD_isError(got) && got == length, "payload can't be decompressed");
+    return uncompressed;
 }
 
-DecodedSnapshot fault(SnapshotError::Code kind, std::string text) {
+DecodedSnapshot failure(SnapshotError::Code code, std::string text) {
     DecodedSnapshot decoded;
-    decoded.error = SnapshotError{kind, std::move(text)};
+    decoded.error = SnapshotError{code, std::move(text)};
     return decoded;
 }
 
 }  // namespace
 
-const char* name_of(SnapshotError::Code kind) {
-    switch (kind) {
+const char* name_of(SnapshotError::Code code) {
+    switch (code) {
         case SnapshotError::Code::unreadable:
             return "unreadable";
         case SnapshotError::Code::not_a_list:
@@ -188,18 +193,18 @@
     return "?";
 }
 
-std::string encode(const Snapshot& list, const NameTables& names) {
-    msgpack::sbuffer plain;
-    msgpack::packer pack(plain);
+std::string encode(const Snapshot& snapshot, const NameTables& names) {
+    msgpack::sbuffer uncompressed;
+    msgpack::packer pack(uncompressed);
     pack.pack_map(8);
-    pack.pack("site"), pack.pack(list.site);
-    pack.pack("taken_at"), pack.pack(list.taken_at.micros);
-    pack.pack("sure_age"), pack.pack(list.confirmed_age);
-    pack.pack("last_seq"), pack.pack(list.last_sequence);
-    pack.pack("whole_at"), pack.pack(list.full_list_sequence);
-    pack.pack("forgotten_to"), pack.pack(list.forgotten_through);
-    pack.pack("members"), pack.pack_array(static_cast<std::uint32_t>(list.endpoints.size()));
-    for (const KnownEndpoint& member : list.endpoints) {
+    pack.pack("site"), pack.pack(snapshot.site);
+    pack.pack("taken_at"), pack.pack(snapshot.taken_at.micros);
+    pack.pack("sure_age"), pack.pack(snapshot.confirmed_age);
+    pack.pack("last_seq"), pack.pack(snapshot.last_sequence);
+    pack.pack("whole_at"), pack.pack(snapshot.full_list_sequence);
+    pack.pack("forgotten_to"), pack.pack(snapshot.forgotten_through);
+    pack.pack("members"), pack.pack_array(static_cast<std::uint32_t>(snapshot.endpoints.size()));
+    for (const KnownEndpoint& member : snapshot.endpoints) {
         const Endpoint& entry = member.record->located.endpoint;
         pack.pack_array(10);
         pack.pack(entry.name), pack.pack(member.record->located.address);
@@ -207,18 +212,19 @@
         pack.pack(entry.cell), pack.pack(entry.weight), pack.pack(static_cast<int>(entry.state));
         pack.pack(entry.started_at), pack.pack(member.record->sequence), pack.pack(member.last_response_at);
     }
-    pack.pack("purges"), pack.pack_array(static_cast<std::uint32_t>(list.purges.size()));
-    for (const Purge& purge : list.purges) {
+    pack.pack("purges"), pack.pack_array(static_cast<std::uint32_t>(snapshot.purges.size()));
+    for (const Purge& purge : snapshot.purges) {
         pack.pack_array(3);
         pack.pack(purge.object), pack.pack(purge.purge_group), pack.pack(purge.at);
     }
-    std::string payload(ZSTD_compressBound(plain.size()), '\0');
-    payload.resize(ZSTD_compress(payload.data(), payload.size(), plain.data(), plain.size(), kLevel));
+    std::string payload(ZSTD_compressBound(uncompressed.size()), '\0');
+    payload.resize(ZSTD_compress(payload.data(), payload.size(), uncompressed.data(), uncompressed.size(),
+                                 kCompressionLevel));
     std::string bytes(kMagic);
     put(bytes, kSnapshotVersion);
     put(bytes, std::uint16_t{0});
     put(bytes, static_cast<std::uint32_t>(payload.size()));
-    put(bytes, static_cast<std::uint32_t>(plain.size()));
+    put(bytes, static_cast<std::uint32_t>(uncompressed.size()));
     put(bytes, std::uint64_t{XXH3_64bits(payload.data(), payload.size())});
     put(bytes, std::uint64_t{XXH3_64bits(bytes.data(), bytes.size())});
     return bytes + payload;
@@ -226,30 +232,34 @@
 
 namespace {
 
-DecodedSnapshot decode_with(std::string_view bytes, const Places& places) {
-    using Kind = SnapshotError::Code;
+DecodedSnapshot decode_with(std::string_view bytes, const NameIndex& name_index) {
+    using Code = SnapshotError::Code;
     if (bytes.size() < kSnapshotHeaderBytes || !bytes.starts_with(kMagic))
-        return fault(Kind::not_a_list, fmt::format("{} bytes that don't begin as a list does", bytes.size()));
+        return failure(Code::not_a_list,
+                       fmt::format("{} bytes that don't begin as a list does", bytes.size()));
     if (get<std::uint64_t>(bytes, 28) != XXH3_64bits(bytes.data(), 28))
-        return fault(Kind::damaged, "the checksum of the header does not hold");
+        return failure(Code::damaged, "header checksum mismatch");
     const auto version = get<std::uint16_t>(bytes, 8);
     if (version > kSnapshotVersion)
-        return fault(Kind::later_version, fmt::format("written in form {}, this program reads up to {}",
-                                                      version, kSnapshotVersion));
-    const std::size_t packed = get<std::uint32_t>(bytes, 12), plain = get<std::uint32_t>(bytes, 16);
+        return failure(Code::later_version,
+                       fmt::format("format version {} is newer than the supported version {}", version,
+                                   kSnapshotVersion));
+    const std::size_t compressed = get<std::uint32_t>(bytes, 12),
+                      uncompressed = get<std::uint32_t>(bytes, 16);
     const std::string_view payload = bytes.substr(kSnapshotHeaderBytes);
-    if (payload.size() != packed || packed > kMaxSnapshotBytes || plain > kMaxUnpackedBytes)
-        return fault(Kind::damaged, fmt::format("{} bytes of {}", payload.size(), packed));
+    if (payload.size() != compressed || compressed > kMaxSnapshotBytes || uncompressed > kMaxUnpackedBytes)
+        return failure(Code::damaged, fmt::format("payload length mismatch: got {} of {} bytes",
+                                                  payload.size(), compressed));
     if (get<std::uint64_t>(bytes, 20) != XXH3_64bits(payload.data(), payload.size()))
-        return fault(Kind::damaged, "the checksum of the content does not hold");
+        return failure(Code::damaged, "payload checksum mismatch");
     DecodedSnapshot decoded;
     try {
-        const std::string content = unpacked(payload, plain);
-        const msgpack::unpack_limit limits(kMostMembers + kMostPurges, 64, 4096, 4096, 0, 8);
+        const std::string content = decompress(payload, uncompressed);
+        const msgpack::unpack_limit limits(kMaxEndpoints + kMaxPurges, 64, 4096, 4096, 0, 8);
         const auto handle = msgpack::unpack(content.data(), content.size(), nullptr, nullptr, limits);
-        decoded.snapshot = list_in(handle.get(), places, decoded.left_out);
-    } catch (const std::exception& wrong) {
-        return fault(Kind::damaged, wrong.what());
+        decoded.snapshot = decode_snapshot(handle.get(), name_index, decoded.left_out);
+    } catch (const std::exception& error) {
+        return failure(Code::damaged, error.what());
     }
     return decoded;
 }
@@ -257,30 +267,32 @@
 }  // namespace
 
 DecodedSnapshot decode(std::string_view bytes, const NameTables& names) {
-    return decode_with(bytes, Places(names));
+    return decode_with(bytes, NameIndex(names));
 }
 
 DecodedSnapshot decode_all(std::string_view bytes, NameTables& names) {
-    return decode_with(bytes, Places(names));
+    return decode_with(bytes, NameIndex(names));
 }
 
-Micros age_of(const Snapshot& list, base::UnixTime wall_now) {
-    return list.confirmed_age < 0 ? -1 : std::max<Micros>(0, wall_now - list.taken_at) + list.confirmed_age;
+Micros age_of(const Snapshot& snapshot, base::UnixTime wall_now) {
+    return snapshot.confirmed_age < 0
+               ? -1
+               : std::max<Micros>(0, wall_now - snapshot.taken_at) + snapshot.confirmed_age;
 }
 
-std::optional<SnapshotError> validate(const Snapshot& list, const std::string& site,
+std::optional<SnapshotError> validate(const Snapshot& snapshot, const std::string& site,
                                       base::UnixTime wall_now) {
-    if (list.site != site)
+    if (snapshot.site != site)
         return SnapshotError{SnapshotError::Code::other_site,
-                             fmt::format("of site '{}', this is '{}'", list.site, site)};
-    const Micros age = wall_now - list.taken_at;
+                             fmt::format("belongs to site '{}', this site is '{}'", snapshot.site, site)};
+    const Micros age = wall_now - snapshot.taken_at;
     if (age < -kClockSlack)
-        return SnapshotError{SnapshotError::Code::wrong_clock,
-                             fmt::format("written {} s ahead of the system's clock", -age / base::kSecond)};
-    if (age > kMaxSnapshotAge)
         return SnapshotError{
             SnapshotError::Code::wrong_clock,
-            fmt::format("{} days old by the system's clock", age / (86'400 * base::kSecond))};
+            fmt::format("written {} s in the future by the system clock", -age / base::kSecond)};
+    if (age > kMaxSnapshotAge)
+        return SnapshotError{SnapshotError::Code::wrong_clock,
+                             fmt::format("{} days old by the system clock", age / (86'400 * base::kSecond))};
     return std::nullopt;
 }
 
--- a/src/endpoints/snapshot_codec.h
+++ b/src/endpoints/snapshot_codec.h
@@ -1,8 +1,9 @@
-// A view as bytes, for the disk and for tools. docs/operating/saved-list.md states the form byte by byte.
+// Encoding of a view's snapshot, for the disk and for tools. docs/operating/saved-list.md specifies it byte
+// by byte.
 //
-// Little-endian: 8 bytes "SUMLIST\n", u16 version, u16 zero, u32 length of the payload, u32 its length
-// unpacked, u64 XXH3 of the payload, u64 XXH3 of the 28 bytes before; then the payload: one zstd frame with a
-// MessagePack map. Zones and kinds are kept by name, since their numbers may change between two starts.
+// Little-endian: 8 bytes "SUMLIST\n", u16 version, u16 zero, u32 length of the payload, u32 its decompressed
+// length, u64 XXH3 of the payload, u64 XXH3 of the 28 bytes before; then the payload: one zstd frame with a
+// MessagePack map. Zones and kinds are stored by name, since their numbers may change between two starts.
 #pragma once
 
 #include <optional>
@@ -16,50 +17,52 @@
 
 constexpr std::uint16_t kSnapshotVersion = 1;
 constexpr std::size_t kSnapshotHeaderBytes = 36;
-constexpr std::size_t kMaxSnapshotBytes = 64u << 20;   // bytes on disk
-constexpr std::size_t kMaxUnpackedBytes = 256u << 20;  // bytes in memory
+constexpr std::size_t kMaxSnapshotBytes = 64u << 20;   // on disk
+constexpr std::size_t kMaxUnpackedBytes = 256u << 20;  // decompressed
 
-// The names that go with the numbers of zones and kinds.
+// Names of zones and kinds, by their numbers.
 struct NameTables {
     std::vector<std::string> zones, kinds;
 };
 
-// Why a file is passed over.
+// Why a file is skipped.
 struct SnapshotError {
     enum class Code {
         unreadable,     // can't be opened or read
         not_a_list,     // too short, or other bytes
-        later_version,  // written by a newer program
-        damaged,        // a checksum, a length or the content does not hold
+        later_version,  // written by a newer version of the program
+        damaged,        // a checksum, a length or the content is wrong
         other_site,
-        wrong_clock  // from the future, or absurdly old: its age can't be told
+        wrong_clock  // from the future or implausibly old: its age can't be determined
     };
     Code code;
-    std::string text;  // one plain line
+    std::string text;  // one line
 };
 
 struct DecodedSnapshot {
     Snapshot snapshot;
-    std::optional<SnapshotError> error;  // set: `list` is empty
-    std::size_t left_out = 0;            // members of zones or kinds that are no longer known
+    std::optional<SnapshotError> error;  // set: `snapshot` is empty
+    std::size_t left_out = 0;            // endpoints of zones or kinds that are no longer known
 };
 
-std::string encode(const Snapshot& list, const NameTables& names);
+std::string encode(const Snapshot& snapshot, const NameTables& names);
 // Never throws, whatever the bytes.
 DecodedSnapshot decode(std::string_view bytes, const NameTables& names);
 
-// For tools that know no settings: zones and kinds are added to `names` as they are met.
+// For tools that read no settings: unknown zones and kinds are added to `names`.
 DecodedSnapshot decode_all(std::string_view bytes, NameTables& names);
 
-// What speaks against using a list that could be read. `wall_now`: the system's clock.
-// A clock may be ahead by kClockSlack; older than kOldest is no age but a wrong clock.
+// Why a snapshot that could be decoded must not be used, if anything. `wall_now`: the system clock. A
+// snapshot may be up to kClockSlack in the future; an age above kMaxSnapshotAge means that the clock is
+// wrong.
 constexpr Micros kClockSlack = 2 * base::kSecond;
 constexpr Micros kMaxSnapshotAge = 400LL * 86'400 * base::kSecond;
-std::optional<SnapshotError> validate(const Snapshot& list, const std::string& site, base::UnixTime wall_now);
+std::optional<SnapshotError> validate(const Snapshot& snapshot, const std::string& site,
+                                      base::UnixTime wall_now);
 
-// The age of the list by `wall_now`; below 0: no live source ever confirmed it.
-Micros age_of(const Snapshot& list, base::UnixTime wall_now);
+// Time since the list was last confirmed, at `wall_now`; below 0: no live source ever confirmed it.
+Micros age_of(const Snapshot& snapshot, base::UnixTime wall_now);
 
-const char* name_of(SnapshotError::Code kind);
+const char* name_of(SnapshotError::Code code);
 
 }  // namespace sumackeel::endpoints
--- a/tests/endpoints/snapshot_codec_test.cpp
+++ b/tests/endpoints/snapshot_codec_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using base::kSecond;
-using Kind = SnapshotError::Code;
+using Code = SnapshotError::Code;
 
 constexpr Micros kNow = 1'700'000'000LL * kSecond;
 const NameTables kNames{{"coast", "edge-1"}, {"small", "parent", "origin"}};
@@ -85,12 +85,12 @@
 TEST(SavedForm, AFileOfALaterProgramIsNamedAsSuch) {
     std::string later = encode(some_list(), kNames);
     later[8] = 2;
-    EXPECT_EQ(decode(later, kNames).error->code, Kind::damaged);   // a flipped byte is no later version
+    EXPECT_EQ(decode(later, kNames).error->code, Code::damaged);   // a flipped byte is no later version
     const std::uint64_t checksum = XXH3_64bits(later.data(), 28);  // as a later program would write it
     for (std::size_t i = 0; i < 8; ++i) later[28 + i] = static_cast<char>(checksum >> (8 * i));
-    EXPECT_EQ(decode(later, kNames).error->code, Kind::later_version);
-    EXPECT_EQ(decode("SUMLIST", kNames).error->code, Kind::not_a_list);
-    EXPECT_EQ(decode(std::string(100, 'x'), kNames).error->code, Kind::not_a_list);
+    EXPECT_EQ(decode(later, kNames).error->code, Code::later_version);
+    EXPECT_EQ(decode("SUMLIST", kNames).error->code, Code::not_a_list);
+    EXPECT_EQ(decode(std::string(100, 'x'), kNames).error->code, Code::not_a_list);
 }
 
 // Guards: bytes that pass the checksums were still written by somebody; nothing in them may end the program.
@@ -115,10 +115,10 @@
     const Snapshot list = some_list();
     EXPECT_FALSE(validate(list, "school", {kNow + 3600 * kSecond}));
     EXPECT_FALSE(validate(list, "school", {kNow - kSecond}));  // clocks may be a little apart
-    EXPECT_EQ(validate(list, "other", {kNow})->code, Kind::other_site);
+    EXPECT_EQ(validate(list, "other", {kNow})->code, Code::other_site);
     EXPECT_EQ(validate(list, "school", {kNow - 3600 * kSecond})->code,
-              Kind::wrong_clock);  // set back an hour
-    EXPECT_EQ(validate(list, "school", {kNow + kMaxSnapshotAge + kSecond})->code, Kind::wrong_clock);
+              Code::wrong_clock);  // set back an hour
+    EXPECT_EQ(validate(list, "school", {kNow + kMaxSnapshotAge + kSecond})->code, Code::wrong_clock);
     EXPECT_EQ(age_of(list, {kNow + 10 * kSecond}), 11 * kSecond);
 }
 
--- a/tests/endpoints/watch_sources_test.cpp
+++ b/tests/endpoints/watch_sources_test.cpp
@@ -78,10 +78,10 @@
     EXPECT_FALSE(sources.on_data(0, 80));
     EXPECT_EQ(sources.on_event(0, 51, 50, 90), WatchSources::EventResult::apply);  // it caught up
     EXPECT_TRUE(sources.on_data(0, 100));
-    const auto back = sources.next_steps(110, 51);  // the first in order is enough again
-    ASSERT_EQ(back.size(), 1u);
-    EXPECT_EQ(back[0].kind, Kind::drop);
-    EXPECT_EQ(back[0].source, 1u);
+    const auto went_back = sources.next_steps(110, 51);  // the first in order is enough again
+    ASSERT_EQ(went_back.size(), 1u);
+    EXPECT_EQ(went_back[0].kind, Kind::drop);
+    EXPECT_EQ(went_back[0].source, 1u);
 }
 
 // Guards: one that was current when it was called and then stopped growing still says each second that it
@@ -134,7 +134,7 @@
     other.next_steps(0, 5), other.on_disconnected(0, 0, "x"), other.next_steps(*other.next_deadline(), 5);
     WatchSources third(1, several(), 9);
     third.next_steps(0, 5), third.on_disconnected(0, 0, "x"), third.next_steps(*third.next_deadline(), 5);
-    EXPECT_NE(other.health()[0].rest_until, third.health()[0].rest_until);  // not all at once
+    EXPECT_NE(other.health()[0].retry_at, third.health()[0].retry_at);  // not all at once
 }
 
 TEST(Sources, ASilentOneIsDropped) {
