--- a/src/cluster/cluster_size.cpp
+++ b/src/cluster/cluster_size.cpp
@@ -30,7 +30,7 @@
     for (const auto& [zone, size] : known) counts_.try_emplace(zone, 0);
     for (auto& [zone, count] : counts_) {
         const double target = count_in(majority ? present : known, zone);
-        // Members that come are counted before they can have taken their share; those that go, only slowly.
+        // A new member is counted before it can use its share; a member that is gone is removed only slowly.
         const double fall_from = std::max<double>(count_in(known, zone), count);
         count = std::max(target, majority ? count - elapsed * fall_from : count);
     }
--- a/src/cluster/cluster_size.h
+++ b/src/cluster/cluster_size.h
@@ -1,5 +1,6 @@
-// How many proxies share a common bound, in all and in each zone. A count rises at once; it falls slowly, and
-// only in a majority: a minority keeps its share of the whole. Pure; times are microseconds.
+// The number of edge proxies by zone that divide a common limit between them. A count rises at once; it falls
+// slowly, and only in a majority partition: a minority keeps its share of the limit. Performs no I/O; times
+// are microseconds.
 #pragma once
 
 #include <map>
@@ -13,13 +14,13 @@
   public:
     using CountByZone = std::map<std::string, int>;
 
-    // `settle_time`: in which a falling count would fall to nothing.
+    // `settle_time`: the time in which a falling count would reach zero.
     explicit ClusterSize(base::Micros settle_time) : settle_time_(settle_time) {}
 
-    // The counts until the first update, from which they fall.
+    // Initial counts, used until the first update; they fall from there.
     void seed(const CountByZone& counts);
 
-    // `present`: members that are not dead, by zone; `known`: all that have not left or been forgotten.
+    // By zone. `present`: members that are not dead; `known`: all that have neither left nor been forgotten.
     void update(base::Micros now, bool majority, const CountByZone& present, const CountByZone& known);
 
     // By zone, rounded up, at least 1 each.
--- a/src/cluster/failure_detector.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// A dead member is pinged once in so many turns, so that the sides of a healed partition find each other.
+// Turns between two pings of a dead member, so that the sides of a healed partition find each other.
 constexpr std::uint64_t kPingDeadEveryTurns = 4;
-// Of the ping timeout: when a relay reports that no ack came, still in time for the requester.
+// Fraction of the ping timeout after which a relay sends a nack, early enough for the requester.
 constexpr double kNackAtTimeoutFraction = 0.8;
-constexpr std::size_t kMaxPings = 256;  // under way; beyond it none is taken on for others
+constexpr std::size_t kMaxPings = 256;  // in flight; beyond it ping requests are refused
 
 }  // namespace
 
@@ -49,8 +49,8 @@
     std::shuffle(round_.begin(), round_.end(), local_.random);
 }
 
-// A member that this one suspects, or has not pinged since a pause: a suspicion that no longer holds is
-// withdrawn within a few turns at any size.
+// Pings a suspected member that this one suspects itself, or has not pinged since a pause: so a suspicion
+// that no longer holds is withdrawn within a few turns at any cluster size.
 void FailureDetector::ping_one_suspected() {
     std::vector<std::string> names;
     for (const std::string& name : members_.suspected()) {
@@ -144,7 +144,7 @@
                      SendPriority::indirect);
 }
 
-// First the relay that reached the target last time, then random ones.
+// The relay that last reached the target first, then random ones.
 std::vector<std::string> FailureDetector::choose_relays(const std::string& target,
                                                         const std::string& preferred) {
     std::vector<std::string> candidates;
@@ -170,14 +170,14 @@
     ++local_.metrics.failed_pings;
     member->directly_reachable = false;
     const bool suspected = members_.suspected().contains(ping.target);
-    // Relays that send no nack either are a sign that this member does not receive; that a suspected member
-    // is silent is none.
+    // Relays that send no nack either indicate that this member does not receive; a suspected member that
+    // does not respond indicates nothing.
     const bool relays_silent = ping.relays.empty() || ping.nacks < static_cast<int>(ping.relays.size());
     if (!suspected && relays_silent) local_.degrade_health();
-    // A member that receives everything and is received by nobody would suspect all others. A datagram that
-    // came since the ping was sent is proof of life.
+    // A member whose datagrams are all lost while it receives would suspect all others. A datagram received
+    // since the ping was sent shows that the target is alive.
     if (local_.options.lifeguard && member->last_received_at >= ping.sent_at) return;
-    // Where datagrams are lost one failure says little: pinged again in the next turn before it is suspected.
+    // With datagram loss a single failure is weak evidence: ping again in the next turn before suspecting.
     if (local_.options.lifeguard && !member->ping_failed_once && !suspected) {
         member->ping_failed_once = true;
         failed_once_.push_back(ping.target);
@@ -214,7 +214,7 @@
 
 void FailureDetector::on_ack(Member& sender, const Datagram& ack) {
     const auto found = pings_.find(ack.number);
-    if (found == pings_.end()) return;  // late, or of no ping
+    if (found == pings_.end()) return;  // late, or for an unknown ping
     const Ping ping = found->second;
     const std::string& name = sender.record.name;
     if (!ping.is_own()) {
--- a/src/cluster/failure_detector.h
+++ b/src/cluster/failure_detector.h
@@ -1,5 +1,5 @@
 // SWIM's failure detector: pings in shuffled rounds, indirect pings through other members, and pings on
-// others' behalf. Internal to src/cluster.
+// behalf of others. Internal to src/cluster.
 #pragma once
 
 #include <cstdint>
@@ -18,21 +18,21 @@
     FailureDetector(LocalState& local, MemberTable& members, SuspicionTracker& suspicions, Outbox& outbox)
         : local_(local), members_(members), suspicions_(suspicions), outbox_(outbox) {}
 
-    // When the next turn is due; a turn pings one member of the round, and some beside it.
+    // When the next turn is due; a turn pings the next member of the round, and a few chosen by their state.
     Micros next_turn() const { return next_turn_; }
     void schedule_turn(Micros at) { next_turn_ = at; }
     void run_turn();
     std::uint64_t turn() const { return turn_; }  // number of the latest turn
-    // Does what is due for the pings under way: asks others, or ends them.
+    // Handles the pings in flight whose deadline has passed: asks relays, or ends the ping.
     void check_pings();
-    // Void all pings under way: this process has paused, and their acks may have been lost meanwhile.
+    // Discards all pings in flight: this process has paused, and acks may have been lost in the meantime.
     void cancel_pings() { pings_.clear(); }
     // The earliest moment at which check_pings() or run_turn() has something to do.
     Micros next_deadline() const;
 
-    // A new member takes a random place in the round under way.
+    // Inserts a new member at a random position of the current round.
     void add_to_round(const std::string& member);
-    // Pings the subject for `sender`. Gives when the ping ends; none: it was not taken on.
+    // Pings the subject on behalf of `sender`. Returns when the ping ends; none: the request was refused.
     std::optional<Micros> on_ping_request(const Member& sender, const Datagram& request);
     void on_ack(Member& sender, const Datagram& ack);
     void on_nack(const Datagram& nack);
@@ -41,12 +41,12 @@
     struct Ping {
         std::string target;
         Micros sent_at = 0;
-        Micros indirect_at = 0;  // when others are asked to try
+        Micros indirect_at = 0;  // when relays are asked
         Micros ends_at = 0;
-        std::vector<std::string> relays;  // who was asked to try
+        std::vector<std::string> relays;  // members asked to ping the target
         int nacks = 0;
         bool relays_asked = false;
-        std::string requester;             // of a ping on another's behalf; empty: our own
+        std::string requester;             // of a ping on behalf of another member; empty: own ping
         std::uint64_t request_number = 0;  // the requester's number
 
         bool is_own() const { return requester.empty(); }
@@ -75,7 +75,7 @@
     Outbox& outbox_;
     Micros next_turn_ = 0;
     std::uint64_t turn_ = 0;
-    std::vector<std::string> round_;        // of the round under way, the next one last
+    std::vector<std::string> round_;        // remaining members of the current round, the next one last
     std::vector<std::string> failed_once_;  // to be pinged again in the next turn
     std::map<PingNumber, Ping> pings_;
     PingNumber last_number_ = 0;
--- a/src/cluster/gossip_queue.h
+++ b/src/cluster/gossip_queue.h
@@ -1,4 +1,4 @@
-// Records and suspicions still to be passed on, each a bounded number of times, the least sent first.
+// Records and suspicions to be gossiped, each a bounded number of times, the least transmitted first.
 // Internal to src/cluster.
 #pragma once
 
@@ -11,8 +11,8 @@
 
 namespace sumackeel::cluster {
 
-// Names one record or suspicion; its newest form is looked up when it is sent. The order of the fields is the
-// order in which items that are owed as often are sent.
+// Identifies one record or suspicion; its newest version is looked up when it is sent. The order of the
+// fields decides between items with the same number of transmissions left.
 struct GossipKey {
     enum class Kind { suspicion, record };
     Kind kind = Kind::record;
@@ -26,7 +26,7 @@
   public:
     GossipQueue(const Options& options, const MemberTable& members) : options_(options), members_(members) {}
 
-    // Owes it the full number of transmissions from now on.
+    // Schedules the full number of transmissions, also for an item that is already queued.
     void add(const GossipKey& key);
     // Fills the datagram up to kMaxDatagramBytes, of which `used` are taken.
     void append_to(Datagram& datagram, const Member& to, std::size_t used);
@@ -36,7 +36,7 @@
     struct Entry {
         int transmissions_left = 0;
         GossipKey key;
-        // Those owed most often come first.
+        // Items with the most transmissions left come first.
         bool operator<(const Entry& other) const;
     };
 
@@ -50,7 +50,7 @@
     const Options& options_;
     const MemberTable& members_;
     std::map<GossipKey, int> transmissions_left_;
-    std::set<Entry> order_;  // the same, in the order of sending
+    std::set<Entry> order_;  // the same items in sending order
 };
 
 }  // namespace sumackeel::cluster
--- a/src/cluster/member_view.h
+++ b/src/cluster/member_view.h
@@ -1,4 +1,4 @@
-// Members as this one sees them: what the cluster's users read.
+// The public view of the members, as this one sees them.
 #pragma once
 
 #include <string>
@@ -10,19 +10,19 @@
 
 enum class MemberState { joining, alive, suspect, dead, left };
 using State = MemberState;  // for the folders that still use the short name
-// As it appears in logs and in /ops/ answers.
+// As it appears in logs and in /ops/ responses.
 const char* name_of(MemberState state);
 
 struct MemberView {
     MemberRecord record;
     MemberState state = MemberState::joining;
     Micros since = 0;                     // in this state
-    Micros last_received_at = -1;         // when a datagram of its own came last; -1: never
+    Micros last_received_at = -1;         // when it last sent a datagram to this member; -1: never
     std::vector<std::string> suspectors;  // whose suspicions of it are active
-    bool directly_reachable = true;       // answers our own pings; false: only through others, or not at all
+    bool directly_reachable = true;       // answers direct pings; false: only through relays, or not at all
 };
 
-// Which part of a split cluster this member is in; alone: no other member is known.
+// Which side of a network partition this member is on; alone: no other member is known.
 enum class PartitionSide { alone, minority, majority };
 const char* name_of(PartitionSide side);
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -29,7 +29,7 @@
     exchange_.schedule_next();
 }
 
-// A late call shows that this process did not run meanwhile.
+// A late call means that this process did not run in the meantime.
 void Membership::update_clock(Micros now) {
     local_.now = std::max(local_.now, now);
     const Micros late = local_.now - due_;
@@ -40,8 +40,8 @@
     if (late > period) on_pause();
 }
 
-// What this process was waiting for may have come and gone: no ping of before is judged, and each suspicion
-// starts over.
+// Responses may have been lost during the pause: earlier pings are discarded, and each suspicion countdown
+// restarts.
 void Membership::on_pause() {
     ++local_.metrics.pauses;
     local_.resumed_at = local_.now;
@@ -66,7 +66,7 @@
     due_ = std::max(detector_.next_deadline(), local_.now);
 }
 
-// Forgets members that have been gone for long, and counts the rest by zone.
+// Forgets members that have been dead or left for long, and counts the rest by zone.
 void Membership::update_cluster_size() {
     std::map<std::string, int> present{{local_.self.zone, 1}};
     std::map<std::string, int> known{{local_.self.zone, 1}};
@@ -93,7 +93,7 @@
     for (const MemberRecord& record : datagram.records) on_record(record, datagram.from);
     Member* sender = members_.find(datagram.from);
     if (is_displaced() || !sender) return;
-    // A datagram of an earlier process says nothing of the present one.
+    // A datagram of an earlier process says nothing about the current one.
     if (datagram.records.front().incarnation.start < sender->record.incarnation.start) return;
     sender->last_received_at = local_.now;
     if (local_.options.lifeguard && !sender->dead) {
@@ -128,7 +128,7 @@
         case RecordMerger::Result::added:
             return detector_.add_to_round(record.name);
         case RecordMerger::Result::revived:
-            // It was away: each knows much that the other does not.
+            // After its absence both sides have updates that the other lacks.
             if (record.phase != Phase::left) exchange_.request(record.name);
             return;
         case RecordMerger::Result::updated:
@@ -211,7 +211,7 @@
     std::size_t count = 1;
     for (const auto& [name, member] : members_.all()) {
         if (!member.is_pinged()) continue;
-        // A member that anybody suspects is reachable only where this one has heard from it since, itself.
+        // A suspected member counts as reachable only if this one has received from it since, directly.
         const bool received_since =
             member.last_received_at >= member.state_since ||
             (member.directly_reachable && member.last_ping_result >= member.state_since);
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,12 +1,13 @@
-// Which edge proxies are in the cluster, as one of them sees it: SWIM's failure detector and suspicion with
-// Lifeguard's local health, where a death takes suspicions of several members (docs/design/group.md).
+// Cluster membership of the edge proxies, as one of them sees it: SWIM's failure detector and suspicions with
+// Lifeguard's local health; declaring a death takes suspicions of several members (docs/design/group.md).
 //
-// Pure: times are microseconds of any monotonic clock, randomness comes from the seed, and the caller takes
-// out what is to be sent. The same calls give the same messages.
+// Performs no I/O: times are microseconds of any monotonic clock, random numbers come from the seed, and the
+// caller takes the outgoing messages. The same calls give the same messages.
 //
 // Guarantees: no member is declared dead before `required_suspectors` different members have suspected it for
 // a whole suspicion timeout; a member's own newer record refutes any number of suspicions; a dead member is
-// not revived by an old record; after a pause of its own a member pings again before it declares a death.
+// not revived by an old record; after a pause of its own process a member pings again before it declares a
+// death.
 // Bounds: kMaxMembers members, kMaxSuspectors suspicions of each.
 #pragma once
 
@@ -39,34 +40,34 @@
     Membership(const Membership&) = delete;
     Membership& operator=(const Membership&) = delete;
 
-    // Does what is due. Call it at due(); a late call is taken as a pause of this process.
+    // Runs what is due. To be called at due(); a late call counts as a pause of this process.
     void tick(Micros now);
     Micros due() const { return due_; }
-    // An authenticated datagram to this member that was not received before.
+    // Handles an authenticated, not replayed datagram to this member.
     void receive(Micros now, const Datagram& datagram);
 
-    // State exchanges. The digest is equal for members that know the same.
+    // State exchanges. Members with the same state have the same digest.
     std::uint64_t digest() const { return exchange_.digest(); }
     FullState full_state() const { return exchange_.full_state(); }
     void merge(Micros now, const FullState& state);
-    // With whom to exchange states now: set when an exchange is due, and given out once.
+    // The peer to exchange states with now: set when an exchange is due, and returned once.
     std::optional<std::string> take_exchange() { return exchange_.take_peer(); }
-    // The first exchange is done, or there is nobody to have one with.
+    // To be called after the first exchange, or when there is no peer for one.
     void mark_joined(Micros now);
 
-    // Notifies a few reachable members that this one leaves; it is silent from then on.
+    // Notifies a few reachable members that this one leaves; it sends nothing from then on.
     void leave(Micros now);
 
     std::vector<OutgoingDatagram> take_outgoing() { return outbox_.take(); }
     std::vector<MemberChange> take_changes() { return suspicions_.take_changes(); }
 
     const MemberRecord& self() const { return local_.self; }
-    // Another process uses this name with a later start; this one has become silent.
+    // Another process uses this name with a later start; this one has stopped sending.
     bool is_displaced() const { return self_record_.is_displaced(); }
     // The start number that is to be stored on disk and then passed to set_start(); 0: none.
     std::uint64_t requested_start() const { return self_record_.requested_start(); }
     void set_start(Micros now, std::uint64_t start);
-    // The program's version from now on, by a newer record.
+    // Sets the program version in a newer record of this member.
     void set_software_version(Micros now, const std::string& version);
 
     // Lifeguard's local health score, from 0, healthy, to kWorstHealth.
@@ -74,13 +75,13 @@
     std::vector<MemberView> members() const;  // all but this one
     std::optional<MemberState> state_of(const std::string& name) const;
     std::string address_of(const std::string& name) const;  // empty: not known
-    // Members that neither left nor were forgotten, this one too.
+    // Members that have neither left nor been forgotten, including this one.
     std::size_t member_count() const { return members_.count(); }
-    // Those of them that this one neither holds dead nor suspects, this one too.
+    // Those of them that this one neither suspects nor has declared dead, including this one.
     std::size_t reachable_count() const;
     PartitionSide side() const;
     const ClusterSize& cluster_size() const { return cluster_size_; }
-    // The configured size by zone, used until the cluster knows better.
+    // The configured size by zone, used until the first update.
     void seed_cluster_size(const std::map<std::string, int>& by_zone) { cluster_size_.seed(by_zone); }
     const MembershipMetrics& metrics() const { return local_.metrics; }
 
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -1,5 +1,4 @@
-// What members of the cluster send each other, as values. src/cluster_transport/message_codec.h gives them
-// their form on the wire.
+// Messages between members of the cluster, as values. src/cluster_transport/message_codec.h encodes them.
 #pragma once
 
 #include <compare>
@@ -14,8 +13,8 @@
 
 using base::Micros;
 
-// Which of two records of a member is the newer. `start` is the number of the process's start, kept on its
-// disk and never used twice; `refutations` grows within one process, with each newer record.
+// Orders the records of a member by age. `start` is the start number of the process, stored on its disk and
+// never used twice; `refutations` grows with each newer record of one process.
 struct Incarnation {
     std::uint64_t start = 0;
     std::uint64_t refutations = 0;
@@ -23,30 +22,30 @@
     auto operator<=>(const Incarnation&) const = default;
 };
 
-// No member comes near these. A forged number beyond them could drive another member's to where it can't be
-// increased any more.
+// Far beyond what any member reaches. Refuting a larger, forged number could bring the member's own number to
+// where it can't be increased any more.
 constexpr std::uint64_t kMaxStart = 1ULL << 62;
 constexpr std::uint64_t kMaxRefutations = 1ULL << 62;
 inline bool is_valid(const Incarnation& incarnation) {
     return incarnation.start <= kMaxStart && incarnation.refutations <= kMaxRefutations;
 }
 
-enum class Phase : std::uint8_t { joining, alive, left };  // what a member says of itself
+enum class Phase : std::uint8_t { joining, alive, left };  // as the member itself reports
 
-// What a member says of itself. No other member makes one; others pass it on unchanged.
+// A member's description of itself. Only that member creates it; others forward it unchanged.
 struct MemberRecord {
     std::string name;
-    std::string address;  // IPv4 address and port, of datagrams and streams alike
+    std::string address;  // IPv4 address and port, for datagrams and streams
     std::string zone;
     std::string software_version;  // of the program
     Incarnation incarnation;
-    std::uint64_t instance_id = 0;  // drawn at a start: tells two processes apart that use one name
+    std::uint64_t instance_id = 0;  // random at each start: distinguishes two processes with the same name
     Phase phase = Phase::joining;
     bool operator==(const MemberRecord&) const = default;
 };
 
 // One member's claim that it can't reach another, or (`active` false) that it can again. Suspicions of
-// different suspectors are never merged: a death takes several of them.
+// different suspectors are never merged, because declaring a death takes several of them.
 struct Suspicion {
     std::string suspector;
     std::string subject;
@@ -60,8 +59,8 @@
 enum class MessageKind : std::uint8_t {
     ping = 1,  // answered by `ack` with the same number
     ack = 2,
-    ping_request = 3,  // ping `subject` for the sender; answered by `ack` or, in time, `nack`
-    nack = 4,          // `subject` did not answer the relay either
+    ping_request = 3,  // ping `subject` for the sender; answered by `ack` or, before its timeout, `nack`
+    nack = 4,          // `subject` did not respond to the relay either
     gossip = 5         // records and suspicions alone
 };
 
@@ -75,15 +74,15 @@
     std::vector<Suspicion> suspicions = {};
 };
 
-// All that a member knows, for a state exchange. A dead member is listed with the suspicions of those who
-// hold it dead.
+// All that a member knows, for a state exchange. A dead member is listed with the suspicions that led to its
+// death.
 struct FullState {
     std::string from;
     std::vector<MemberRecord> records;  // the first is the sender's own
     std::vector<Suspicion> suspicions;
 };
 
-// Most urgent first: where the rate limit binds, the last is dropped first.
+// Highest priority first: under the rate limit the last is dropped first.
 enum class SendPriority : std::uint8_t { ping, indirect, gossip, state_exchange };
 
 struct OutgoingDatagram {
@@ -92,10 +91,10 @@
     SendPriority priority = SendPriority::ping;
 };
 
-// Datagrams stay under what every path carries in one piece (1,280 bytes less headers), with space for the
-// frame around them.
+// Datagrams stay below the minimum IPv6 MTU (1,280 bytes less headers), so that no path fragments them, with
+// space for the frame around them.
 constexpr std::size_t kMaxDatagramBytes = 1'200;
-constexpr std::size_t kFrameRoom = 110;
+constexpr std::size_t kMaxFrameOverheadBytes = 110;
 // Names and addresses from the wire are no longer than this, so that the bounds below hold.
 constexpr std::size_t kMaxNameLength = 64;
 
--- a/src/cluster/outbox.cpp
+++ b/src/cluster/outbox.cpp
@@ -18,10 +18,10 @@
     datagram.from = local_.self.name;
     datagram.to = to.record.name;
     datagram.records.push_back(local_.self);
-    std::size_t used = kFrameRoom + datagram.from.size() + datagram.to.size() + datagram.subject.size() +
-                       max_encoded_size(local_.self);
-    // Lifeguard's buddy system: a suspected member learns of it with the first datagram that reaches it. A
-    // dead one learns of it, too, and so can refute its death.
+    std::size_t used = kMaxFrameOverheadBytes + datagram.from.size() + datagram.to.size() +
+                       datagram.subject.size() + max_encoded_size(local_.self);
+    // Lifeguard's buddy system: a suspected member learns of its suspicion with the first datagram that
+    // reaches it. So does a dead one, which can then refute its death.
     if (local_.options.lifeguard || to.dead) {
         if (const Suspicion* suspicion = suspicion_of_receiver(to)) {
             datagram.suspicions.push_back(*suspicion);
--- a/src/cluster/outbox.h
+++ b/src/cluster/outbox.h
@@ -1,5 +1,4 @@
-// Datagrams to be sent, each with this member's own record and as much gossip as it holds. Internal to
-// src/cluster.
+// Outgoing datagrams, each with this member's own record and as much gossip as fits. Internal to src/cluster.
 #pragma once
 
 #include <utility>
--- a/src/cluster/record_merger.cpp
+++ b/src/cluster/record_merger.cpp
@@ -50,7 +50,7 @@
     if (was_dead) {
         member.dead = false;
         ++local_.metrics.revivals;
-        // Its suspicions belong to the death that is over; who still can't reach it will suspect it anew.
+        // The suspicions belong to the past death; members that still can't reach it will suspect it again.
         for (auto& [suspector, entry] : member.suspicions) entry.accepted.active = false;
     }
     gossip_.add({GossipKey::Kind::record, record.name});
--- a/src/cluster/record_merger.h
+++ b/src/cluster/record_merger.h
@@ -1,7 +1,7 @@
-// Takes records of other members into the table. Internal to src/cluster.
+// Merges records of other members into the table. Internal to src/cluster.
 //
-// A record of a later start, and one that says that its member has left, could silence that member for good.
-// From others than the member itself they count only once as many have sent them as a death takes.
+// A forged record of a later start, or of a leave, could exclude its member for good. Received from others
+// than the member itself, such a record takes as many senders as declaring a death takes suspectors.
 #pragma once
 
 #include <string>
@@ -21,7 +21,7 @@
   private:
     Result add(const MemberRecord& record);
     Result update(Member& member, const MemberRecord& record);
-    // Whether enough members have sent a record that takes several.
+    // Whether enough members have sent a record that needs several senders.
     bool confirm(Member& member, const MemberRecord& record, const std::string& source) const;
 
     LocalState& local_;
--- a/src/cluster/self_record.cpp
+++ b/src/cluster/self_record.cpp
@@ -28,7 +28,7 @@
 
 void SelfRecord::refute(std::uint64_t refutations) {
     local_.self.incarnation.refutations = refutations + 1;
-    // So high a number was forged; a later start counts from 0 again.
+    // A number this high was forged; a later start counts from 0 again.
     if (refutations >= kMaxRefutations / 2) requested_start_ = local_.self.incarnation.start + 1;
     ++local_.metrics.refutations;
     local_.degrade_health();
@@ -41,15 +41,15 @@
 void SelfRecord::on_record(const MemberRecord& record, const std::string& source) {
     const Incarnation& own = local_.self.incarnation;
     if (record.instance_id == local_.self.instance_id) {
-        // Our own, as others hold it. One that is ahead of us was forged, and we go beyond it.
+        // Our own record as others have it. One that is newer than ours was forged: it is refuted.
         if (record.incarnation.start == own.start && record.incarnation.refutations > own.refutations)
             refute(record.incarnation.refutations);
         return;
     }
     if (record.incarnation.start < own.start) return;  // of an earlier process
-    // Another process with our start, or a later one. Before the first exchange of states it is an earlier
-    // process of ours whose number our disk has lost, or one that we replace: the newcomer goes beyond it.
-    // Later it is a process that has gone beyond us, and two must not speak under one name.
+    // Another process with our start number or a later one. Before the first state exchange it is an earlier
+    // process of this member whose number our disk has lost, or one that we replace: we take a later number.
+    // After the exchange it is a process that has replaced us, and two must not send under one name.
     const bool is_ours_to_pass =
         record.incarnation.start == own.start && record.instance_id < local_.self.instance_id;
     if (!state_merged_ || is_ours_to_pass) return request_start_after(record.incarnation.start);
--- a/src/cluster/self_record.h
+++ b/src/cluster/self_record.h
@@ -1,5 +1,5 @@
-// This member's own record: what it says of itself, how it refutes suspicions, and what it does when another
-// process uses its name. Internal to src/cluster.
+// This member's own record: its contents, how it refutes suspicions, and what happens when another process
+// uses its name. Internal to src/cluster.
 #pragma once
 
 #include <cstdint>
@@ -21,14 +21,14 @@
     // This member has received the full state of another one.
     void on_state_merged() { state_merged_ = true; }
 
-    // A suspicion of this member: refuted where it is of the newest record.
+    // Handles a suspicion of this member: refuted if it is about the newest record.
     void on_suspicion(const Suspicion& suspicion);
-    // A record under this member's name, as `source` sent it: its own, or of another process.
+    // Handles a record with this member's name, received from `source`: its own, or of another process.
     void on_record(const MemberRecord& record, const std::string& source);
 
     // Another process uses this name with a later start.
     bool is_displaced() const { return displaced_; }
-    // The start number that this member needs; 0: its present one.
+    // The start number that this member needs; 0: it keeps the current one.
     std::uint64_t requested_start() const { return requested_start_; }
 
   private:
--- a/src/cluster/state_exchange.cpp
+++ b/src/cluster/state_exchange.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
 constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
-constexpr std::uint64_t kTextEnd = 0xff;  // in no name
+constexpr std::uint64_t kTextEnd = 0xff;  // does not occur in names
 
 // FNV-1a over the text and an end mark.
 std::uint64_t hash_text(std::uint64_t hash, std::string_view text) {
--- a/src/cluster/state_exchange.h
+++ b/src/cluster/state_exchange.h
@@ -1,5 +1,5 @@
-// Exchange of full states with one member at a time: what is compared, what is sent, and with whom the next
-// one is. Internal to src/cluster.
+// Exchange of full states with one member at a time: the digest, the state to send, and the next peer.
+// Internal to src/cluster.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
   public:
     StateExchange(LocalState& local, const MemberTable& members) : local_(local), members_(members) {}
 
-    // Equal for members that know the same.
+    // Equal for members with the same state.
     std::uint64_t digest() const;
     FullState full_state() const;
 
--- a/src/cluster/suspicion_tracker.cpp
+++ b/src/cluster/suspicion_tracker.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Suspectors beyond the first that bring a suspicion down to its shortest (Lifeguard's K).
+// Suspectors beyond the first that reduce the suspicion timeout to its minimum (Lifeguard's K).
 constexpr double kConfirmations = 3;
 // A suspicion that was not repeated for this many renewal intervals lapses.
 constexpr int kLapseIntervals = 3;
@@ -24,7 +24,7 @@
 }  // namespace
 
 void SuspicionTracker::on_suspicion(const Suspicion& suspicion, const std::string& source) {
-    if (suspicion.suspector == local_.self.name) return;  // only this member makes its own
+    if (suspicion.suspector == local_.self.name) return;  // only this member creates its own
     Member* subject = members_.find(suspicion.subject);
     const Member* suspector = members_.find(suspicion.suspector);
     if (!subject || !suspector) {
@@ -52,7 +52,7 @@
     SuspicionEntry* entry = entry_for(subject, suspicion.suspector);
     if (!entry) return;
     const bool from_suspector = source == suspicion.suspector;
-    // Repeated by its suspector: it still holds, though it may have lapsed here.
+    // Repeated by its suspector: it still holds, even if it has lapsed here.
     if (entry->is_accepted && from_suspector && is_same_age(suspicion, entry->accepted) && suspicion.active) {
         entry->accepted.active = true;
         entry->confirmed_at = local_.now;
@@ -80,7 +80,7 @@
 
 void SuspicionTracker::suspect(Member& subject) {
     if (is_suspected_by_self(subject)) {
-        // Repeated sooner where the member has answered it by a newer record.
+        // Repeated sooner if the member has refuted it by a newer record.
         const bool answered =
             subject.suspicions.at(local_.self.name).accepted.incarnation < subject.record.incarnation;
         const Micros interval = answered ? 2 * local_.options.protocol_period : renewal_interval();
@@ -116,7 +116,8 @@
 }
 
 Micros SuspicionTracker::suspicion_timeout(std::size_t suspectors) const {
-    // Pings are stretched by the health score in full; stretched as much here, a death would take minutes.
+    // Ping timeouts are extended by the full health score; with the same factor here a death would take
+    // minutes.
     const double shortest =
         static_cast<double>(renewal_interval()) * (1 + static_cast<double>(local_.health) / kWorstHealth);
     if (!local_.options.lifeguard) return static_cast<Micros>(shortest);
@@ -180,8 +181,8 @@
     }
 }
 
-// A suspicion that its suspector no longer repeats has ended, though its withdrawal was lost; sooner, where
-// the member has answered it. The entry is kept as ended, so that others' old copies of it are recognized.
+// Ends suspicions that their suspector no longer repeats, because the withdrawal may have been lost; sooner
+// if the member has refuted them. The inactive entry stays, so that old copies from others are recognized.
 void SuspicionTracker::lapse_unconfirmed(Member& member) {
     for (auto& [suspector, entry] : member.suspicions) {
         if (suspector == local_.self.name) continue;
@@ -199,7 +200,7 @@
     }
 }
 
-// How often an own suspicion is repeated: at least once in the shortest suspicion.
+// How often an own suspicion is repeated: at least once within the shortest suspicion timeout.
 Micros SuspicionTracker::renewal_interval() const {
     return static_cast<Micros>(local_.options.min_suspicion * members_.log_size() *
                                static_cast<double>(local_.options.protocol_period));
--- a/src/cluster/suspicion_tracker.h
+++ b/src/cluster/suspicion_tracker.h
@@ -1,8 +1,8 @@
-// Suspicions and what follows from them: which ones count, when a member is dead, which state is shown.
+// Suspicions and their effects: which ones are accepted, when a member is declared dead, which state it has.
 // Internal to src/cluster.
 //
-// A suspicion counts when it comes from its suspector, or when as many members as a death takes have passed
-// it on: otherwise one faulty member could speak for all.
+// A suspicion is accepted from its suspector, or once as many members have forwarded it as declaring a death
+// takes suspectors: otherwise one faulty member could forge suspicions of all others.
 #pragma once
 
 #include <string>
@@ -19,23 +19,23 @@
     SuspicionTracker(LocalState& local, MemberTable& members, GossipQueue& gossip)
         : local_(local), members_(members), gossip_(gossip) {}
 
-    // A suspicion of another member, as `source` sent it.
+    // Handles a suspicion of another member, received from `source`.
     void on_suspicion(const Suspicion& suspicion, const std::string& source);
-    // This member's own suspicion. It is repeated while it holds, but not with each failed ping.
+    // Raises this member's own suspicion. While it holds it is repeated, but not with each failed ping.
     void suspect(Member& subject);
     void withdraw_own_suspicion(Member& subject);
     bool is_suspected_by_self(const Member& member) const;
 
-    // Which suspicions count: of any record of the member, or of its newest alone.
+    // Which suspicions are counted: of any record of the member, or only of its newest.
     enum class Scope { any_record, newest_record };
     std::vector<std::string> suspectors_of(const Member& member, Scope scope) const;
 
-    // Declares the member dead where enough members have suspected it for long enough; shows its state.
+    // Declares the member dead if enough members have suspected it for long enough, and updates its state.
     void evaluate(Member& member);
     void update_state(Member& member);
     // Lets old suspicions lapse and evaluates all suspected members.
     void evaluate_all();
-    // After a pause of this process: no suspicion has lasted longer than since now.
+    // To be called after a pause of this process: all suspicions count from now on.
     void restart_countdowns();
 
     std::vector<MemberChange> take_changes() { return std::exchange(changes_, {}); }
--- a/src/cluster/virtual_network.cpp
+++ b/src/cluster/virtual_network.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxUnread = 512;  // datagrams that a socket holds for a process that does not read
+constexpr std::size_t kMaxUnread = 512;  // datagrams in the socket buffer of a paused process
 constexpr std::size_t kExchangeHeaderBytes = 64;
 constexpr int kZones = 3;
 
@@ -28,7 +28,8 @@
 }  // namespace
 
 std::uint64_t max_encoded_size(const Datagram& datagram) {
-    std::size_t size = kFrameRoom + datagram.from.size() + datagram.to.size() + datagram.subject.size();
+    std::size_t size =
+        kMaxFrameOverheadBytes + datagram.from.size() + datagram.to.size() + datagram.subject.size();
     for (const MemberRecord& record : datagram.records) size += max_encoded_size(record);
     for (const Suspicion& suspicion : datagram.suspicions) size += max_encoded_size(suspicion);
     return size;
@@ -142,8 +143,8 @@
     schedule(now_ + delay, to, std::make_shared<const Datagram>(std::move(outgoing.datagram)));
 }
 
-// Full states over a stream: nothing is lost on it, and it does not open where either way is cut. The caller
-// knows only that it failed.
+// Exchanges full states over a stream: nothing is lost on it, and it can't be opened if either direction is
+// cut. The caller sees only that it failed.
 void VirtualNetwork::exchange(int member, int peer) {
     Node& caller = node(member);
     Node& called = node(peer);
--- a/src/cluster/virtual_network.h
+++ b/src/cluster/virtual_network.h
@@ -1,5 +1,6 @@
-// Many members of a cluster on one virtual clock, with links that lose, delay and are cut, and members that
-// pause, die and restart. For tests and benchmarks; not a part of the program. One seed gives one run.
+// Simulates the members of a cluster on a virtual clock: links lose and delay datagrams and can be cut,
+// members pause, die and restart. For tests and benchmarks, not a part of the program. A seed determines the
+// run.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +25,7 @@
     double loss = 0;       // of datagrams, 0 to 1
     Micros delay = 1'000;  // one way
     Micros jitter = 1'000;
-    bool formed = true;  // all know each other from the beginning; else each joins through the first
+    bool formed = true;  // all know each other from the start; otherwise each joins through the first
 };
 
 // Members are numbered from 0.
@@ -42,7 +43,7 @@
     void set_delay(Micros delay, Micros jitter);
     void cut(int from, int to) { cuts_.insert({from, to}); }  // one way
     void heal() { cuts_.clear(); }
-    // A paused member reads no datagram; it keeps those that its socket holds.
+    // A paused member reads no datagrams; those in its socket buffer stay.
     void pause(int member);
     void resume(int member);
     void kill(int member);
@@ -50,10 +51,10 @@
     bool running(int member) const { return node(member).running; }
     bool paused(int member) const { return node(member).paused; }
 
-    // Called for each change that a member sees, and for each datagram before it is sent.
+    // Called for each state change that a member observes, and for each datagram before it is sent.
     std::function<void(int observer, const MemberChange& change)> on_change;
     std::function<void(int from, const Datagram& datagram)> on_send;
-    // Delivers a datagram that no member sent, as of a faulty member or a replay.
+    // Delivers a datagram that no member sent, for example a forged or replayed one.
     void inject(int to, const Datagram& datagram);
 
     std::uint64_t bytes_sent(int member) const { return node(member).bytes_sent; }
@@ -70,7 +71,7 @@
         std::uint64_t bytes_sent = 0;
         Micros tick_at = -1;           // -1: none is scheduled
         Micros join_at = -1;           // -1: has joined
-        std::vector<Datagram> unread;  // came while it was paused
+        std::vector<Datagram> unread;  // received while it was paused
     };
     struct Event {
         Micros at;
@@ -88,7 +89,7 @@
     void schedule(Micros at, int member, std::shared_ptr<const Datagram> datagram);
     void tick(int member);
     void join(int member);
-    // Sends, reports and schedules what a call of the membership has left.
+    // Sends, reports and schedules the results of a call to the membership.
     void flush(int member);
     void transmit(int member, OutgoingDatagram& outgoing);
     void exchange(int member, int peer);
--- a/src/cluster_transport/cluster_transport.cpp
+++ b/src/cluster_transport/cluster_transport.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxExchanges = 32;            // under way at a time, incoming and outgoing
+constexpr std::size_t kMaxExchanges = 32;            // at a time, incoming and outgoing
 constexpr Micros kBindRetryInterval = 200'000;       // while the previous process holds the address
-constexpr int kMaxJoinPeriods = 5;                   // periods without an answer from any seed
+constexpr int kMaxJoinPeriods = 5;                   // periods to wait for a response from any seed
 constexpr double kExchangeBandwidthFraction = 0.25;  // of the rate limit; the rest is for datagrams
-// Of the datagrams' rate limit, what must be available for these; pings and acks use it up.
+// The fraction of the datagram rate limit that must be available for these; pings and acks use all of it.
 constexpr double kMinFractionForIndirectPings = 0.1;
 constexpr double kMinFractionForGossip = 0.3;
 
@@ -46,7 +46,8 @@
             .phase = cluster::Phase::joining};
 }
 
-// Not from the configured seed: that gives the same number at each start, and two processes must differ.
+// Not derived from the configured seed: that gives the same number at each start, and two processes must
+// differ.
 std::uint64_t new_instance_id() {
     std::random_device random;
     const auto high = static_cast<std::uint64_t>(random());
@@ -254,19 +255,21 @@
     return found == setup_.reach.end() ? advertised : found->second;
 }
 
-// Applies the rate limit, least urgent first: gossip is left out, then indirect pings are dropped, then all.
-bool ClusterTransport::is_capped(const cluster::OutgoingDatagram& outgoing, SequencedDatagram& sequenced) {
+// Applies the rate limit, lowest priority first: gossip is omitted, then indirect pings are dropped, then all
+// datagrams.
+bool ClusterTransport::is_rate_limited(const cluster::OutgoingDatagram& outgoing,
+                                       SequencedDatagram& sequenced) {
     const double available = datagram_limiter_.share(monotonic_now());
     auto& records = sequenced.datagram.records;
     auto& suspicions = sequenced.datagram.suspicions;
     if (available < kMinFractionForGossip && (records.size() > 1 || suspicions.size() > 1)) {
         records.resize(1);
         if (!suspicions.empty()) suspicions.resize(1);
-        ++metrics_.capped[static_cast<int>(SendPriority::gossip)];
+        ++metrics_.rate_limited[static_cast<int>(SendPriority::gossip)];
     }
     const bool is_indirect = outgoing.priority == SendPriority::indirect;
     if (available > 0 && !(is_indirect && available < kMinFractionForIndirectPings)) return false;
-    ++metrics_.capped[static_cast<int>(outgoing.priority)];
+    ++metrics_.rate_limited[static_cast<int>(outgoing.priority)];
     return true;
 }
 
@@ -278,7 +281,7 @@
         return;
     }
     SequencedDatagram sequenced{outgoing.datagram, membership_.self().incarnation.start, ++last_sequence_};
-    if (is_capped(outgoing, sequenced)) return;
+    if (is_rate_limited(outgoing, sequenced)) return;
     std::string bytes = codec_.encode_datagram(sequenced);
     const uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
     if (uv_udp_try_send(udp_, &buffer, 1, reinterpret_cast<const sockaddr*>(&address)) < 0) {
@@ -290,9 +293,9 @@
     metrics_.bytes_out += bytes.size();
 }
 
-// Members that start together can form two clusters that know nothing of each other. So each seed is
-// contacted once, one a period, and a random one from time to time for as long as this process runs. Without
-// a response for some periods this member is the first one.
+// Members that start together can form two clusters that do not know each other. So each seed is contacted
+// once, one per period, and a random one from time to time as long as this process runs. Without a response
+// for kMaxJoinPeriods this member is the first one.
 void ClusterTransport::join() {
     const Micros now = monotonic_now();
     if (now < next_join_at_) return;
@@ -322,7 +325,7 @@
     sockaddr_in to{};
     if (!net::parse_address(address, to) || exchanges_.size() >= kMaxExchanges) return;
     if (joined_ && exchange_limiter_.available(monotonic_now()) <= 0) {
-        ++metrics_.capped[static_cast<int>(SendPriority::state_exchange)];
+        ++metrics_.rate_limited[static_cast<int>(SendPriority::state_exchange)];
         return;
     }
     ++metrics_.exchanges;
--- a/src/cluster_transport/cluster_transport.h
+++ b/src/cluster_transport/cluster_transport.h
@@ -1,6 +1,6 @@
 // Transport between edge proxies: datagrams of the membership protocol, and streams for state exchanges and
 // calls between members, all at one address. Owns the membership, its start number on disk and its rate
-// limits. Off unless peers are configured. All calls are made on the loop's thread.
+// limits. Disabled unless peers are configured. All functions must be called on the loop's thread.
 #pragma once
 
 #include <json/value.h>
@@ -43,17 +43,17 @@
     std::uint64_t datagrams_in = 0;
     std::uint64_t bytes_out = 0;
     std::uint64_t bytes_in = 0;
-    std::uint64_t exchanges = 0;  // that this member began
+    std::uint64_t exchanges = 0;  // opened by this member
     std::uint64_t exchanges_same = 0;
     std::uint64_t exchanges_failed = 0;
-    std::uint64_t not_sent = 0;                 // datagrams that the system did not take
-    std::uint64_t capped[4] = {};               // by cluster::SendPriority: dropped at the rate limit
-    std::uint64_t bad[kDecodeErrorCount] = {};  // by DecodeError
+    std::uint64_t not_sent = 0;          // datagrams that the system call rejected
+    std::uint64_t rate_limited[4] = {};  // by cluster::SendPriority: dropped at the rate limit
+    std::uint64_t decode_errors[kDecodeErrorCount] = {};  // by DecodeError
 };
 
 class ClusterTransport {
   public:
-    // Called with the number of proxies by zone, each time that it changes.
+    // Called with the number of edge proxies by zone whenever it changes.
     using ClusterSizeCallback = std::function<void(const std::map<std::string, int>& by_zone)>;
 
     // Throws TransportError, StartNumberError or config::ConfigError where the address, the folder or the key
@@ -67,7 +67,7 @@
     ClusterTransport(const ClusterTransport&) = delete;
     ClusterTransport& operator=(const ClusterTransport&) = delete;
 
-    // Sends the response to a call; at once or later, from the loop.
+    // Sends the response to a call, immediately or later, on the loop's thread.
     using Respond = std::function<void(std::string response)>;
     using CallHandler = std::function<void(const std::string& from, const std::string& method,
                                            const std::string& body, Respond respond)>;
@@ -75,25 +75,25 @@
         call_handlers_[method] = std::move(handler);
     }
     void remove_call_handler(const std::string& method) { call_handlers_.erase(method); }
-    // Called exactly once, from the loop: with the response, or with none after the timeout or a failure.
+    // Called exactly once, from the loop: with the response, or with none after a timeout or a failure.
     using CallCallback = std::function<void(std::optional<std::string> response)>;
     void call(const std::string& to, const std::string& method, std::string body, base::Micros timeout,
               CallCallback callback);
 
     const MessageCodec& codec() const { return codec_; }
     const config::Cluster& setup() const { return setup_; }
-    // Under which address this proxy reaches a member that advertises `advertised`.
+    // The address at which this proxy reaches a member that advertises `advertised`.
     std::string reachable_address(const std::string& advertised) const;
-    // The program's version in this member's record from now on.
+    // Sets the program version in this member's record.
     void set_software_version(const std::string& version);
     // Notifies the others that this member leaves, and closes all sockets.
     void leave();
-    // Closes all sockets and notifies nobody: the process that takes over goes on under this name.
+    // Closes all sockets without a notification: the process that takes over continues under this name.
     void go_silent();
-    // The answer to /ops/group.
+    // The response body of /ops/group.
     std::string as_json() const;
     const cluster::Membership& membership() const { return membership_; }
-    // The record of a member, this one too; empty where it is not known.
+    // The record of a member, including this one; empty if the member is not known.
     cluster::MemberRecord record_of(const std::string& name) const;
     int port() const;  // -1: not listening
 
@@ -108,12 +108,12 @@
     void close();
     void on_datagram(std::string_view bytes);
     void receive_datagram(std::string_view bytes);
-    void reject_datagram(DecodeError reason) { ++metrics_.bad[static_cast<int>(reason)]; }
-    // Carries out what a call of the membership has left: datagrams, changes, an exchange, the next tick.
+    void reject_datagram(DecodeError reason) { ++metrics_.decode_errors[static_cast<int>(reason)]; }
+    // Processes the results of a call to the membership: datagrams, changes, an exchange, the next tick.
     void flush();
     void schedule_tick();
     void send(const cluster::OutgoingDatagram& outgoing);
-    bool is_capped(const cluster::OutgoingDatagram& outgoing, SequencedDatagram& sequenced);
+    bool is_rate_limited(const cluster::OutgoingDatagram& outgoing, SequencedDatagram& sequenced);
     void join();
     void mark_joined();
     void exchange(const std::string& address, const std::string& name);
@@ -131,7 +131,7 @@
     const config::Cluster setup_;
     const MessageCodec codec_;
     StartNumber start_number_;
-    net::BackgroundTask start_write_;  // of the start number, to disk
+    net::BackgroundTask start_write_;  // writes the start number to disk
     std::mt19937_64 random_;
     cluster::Membership membership_;
     ReplayFilter datagram_replay_filter_;
@@ -148,10 +148,11 @@
     std::map<std::string, CallHandler> call_handlers_;  // by method
     ReplayFilter call_replay_filter_;
     std::uint64_t last_call_number_ = 0;
-    std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);  // for responses that come later
+    std::shared_ptr<bool> lifetime_token_ =
+        std::make_shared<bool>(true);  // expires before late responses can use this
     std::optional<base::TimerQueue::Key> tick_timer_;
     std::optional<base::TimerQueue::Key> bind_timer_;
-    std::vector<std::string> seeds_to_contact_;  // of the round under way
+    std::vector<std::string> seeds_to_contact_;  // remaining seeds of the current round
     base::Micros next_join_at_ = 0;
     base::Micros started_at_ = 0;
     bool first_seed_round_ = true;
@@ -160,7 +161,7 @@
     bool stopped_ = false;
 };
 
-// The caller may be within the stream's own callback, so the session is destroyed from the loop.
+// Destroys the session from the loop, because the caller may be within the stream's own callback.
 template <typename Session>
 void ClusterTransport::release_later(std::vector<std::unique_ptr<Session>>& sessions, Session& ended) {
     for (auto session = sessions.begin(); session != sessions.end(); ++session) {
--- a/src/cluster_transport/exchange_stream.cpp
+++ b/src/cluster_transport/exchange_stream.cpp
@@ -19,7 +19,7 @@
         loop.timers().schedule(loop.clock().now() + kExchangeTimeout, [this] { end(Outcome::failed); });
 }
 
-// An exchange that has ended may outlive the transport, and must not touch it any more.
+// An exchange that has ended may outlive the transport, and must not access it any more.
 ClusterTransport::ExchangeStream::~ExchangeStream() {
     cancel_timeout();
     if (stream_) stream_->close();
@@ -59,7 +59,7 @@
     }
 }
 
-// One call a stream: the response goes back on it, and it is closed.
+// A stream carries one call: the response is sent on it, and the stream is closed.
 void ClusterTransport::ExchangeStream::on_call_frame(const std::string& bytes) {
     DecodeError error{};
     const auto call = transport_.codec_.decode_call(bytes, error);
@@ -76,8 +76,8 @@
 void ClusterTransport::ExchangeStream::dispatch_call(const CallFrame& call, const CallHandler& handler) {
     call_ = call;
     call_number_ = ++transport_.last_call_number_;
-    // The response may come later, when the transport or this stream is gone.
-    const std::weak_ptr<bool> lifetime = transport_.lifetime_;
+    // The response may be sent later, when the transport or this stream no longer exists.
+    const std::weak_ptr<bool> lifetime = transport_.lifetime_token_;
     ClusterTransport* transport = &transport_;
     const std::uint64_t number = call_number_;
     handler(call.from, call.method, call.body, [lifetime, transport, number](std::string response) {
@@ -132,7 +132,7 @@
 }
 
 void ClusterTransport::ExchangeStream::reject(DecodeError reason) {
-    ++transport_.metrics_.bad[static_cast<int>(reason)];
+    ++transport_.metrics_.decode_errors[static_cast<int>(reason)];
     end(Outcome::failed);
 }
 
--- a/src/cluster_transport/exchange_stream.h
+++ b/src/cluster_transport/exchange_stream.h
@@ -1,8 +1,7 @@
-// One stream between two members: a state exchange, or a call that came in. Internal to
-// src/cluster_transport.
+// One stream between two members: a state exchange, or an incoming call. Internal to src/cluster_transport.
 //
-// A state exchange: hello with a digest; `same`, or a state that is answered with a state. A call: the
-// request, the response on the same stream, and the end of it.
+// A state exchange: `hello` with a digest, answered by `same`, or by a state that is answered with a state. A
+// call: the request, and the response on the same stream, which is then closed.
 #pragma once
 
 #include <optional>
@@ -18,18 +17,18 @@
   public:
     enum class Direction { incoming, outgoing };
 
-    // `peer`: the member's name where it is known, else empty.
+    // `peer`: the member's name; empty if it is not known.
     ExchangeStream(ClusterTransport& transport, Direction direction, std::string peer);
     ~ExchangeStream() override;
     ExchangeStream(const ExchangeStream&) = delete;
     ExchangeStream& operator=(const ExchangeStream&) = delete;
 
-    // Null: there is no stream, and the exchange is dropped.
+    // Null: no stream could be opened, and the exchange is dropped.
     void attach(net::Stream* stream) { stream_ = stream; }
     bool is_attached() const { return stream_ != nullptr; }
     bool is_outgoing() const { return direction_ == Direction::outgoing; }
     void cancel_timeout();
-    // Number of the call that came on it; 0: none did.
+    // Number of the call received on this stream; 0: none.
     std::uint64_t call_number() const { return call_number_; }
     void respond(std::string body);
 
@@ -45,7 +44,7 @@
     void on_hello(const ExchangeFrame& frame);
     void on_state(const ExchangeFrame& frame);
     void reject(DecodeError reason);
-    void finish();  // closes once all that was written is sent
+    void finish();  // closes the stream once all written data is sent
     enum class Outcome { done, failed };
     void end(Outcome outcome);
 
@@ -54,7 +53,7 @@
     net::Stream* stream_ = nullptr;
     std::string peer_;
     std::string received_;  // bytes of a frame that is not complete yet
-    CallFrame call_;        // the call that came in place of an exchange
+    CallFrame call_;        // the call received instead of an exchange
     std::uint64_t call_number_ = 0;
     bool ended_ = false;
     std::optional<base::TimerQueue::Key> timeout_;
--- a/src/cluster_transport/message_codec.cpp
+++ b/src/cluster_transport/message_codec.cpp
@@ -38,14 +38,14 @@
     if (!holds) throw MalformedMessage("malformed");
 }
 
-std::string compute_mac(const std::string& key, std::string_view head, std::string_view body) {
-    std::string text(head);
+std::string compute_mac(const std::string& key, std::string_view header, std::string_view body) {
+    std::string text(header);
     text += body;
-    std::array<unsigned char, EVP_MAX_MD_SIZE> code{};
+    std::array<unsigned char, EVP_MAX_MD_SIZE> mac{};
     unsigned int length = 0;
     HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
-         reinterpret_cast<const unsigned char*>(text.data()), text.size(), code.data(), &length);
-    return {reinterpret_cast<const char*>(code.data()), kMacBytes};
+         reinterpret_cast<const unsigned char*>(text.data()), text.size(), mac.data(), &length);
+    return {reinterpret_cast<const char*>(mac.data()), kMacBytes};
 }
 
 std::string prepend_length(const std::string& bytes) {
@@ -82,11 +82,11 @@
 template <typename T>
 void pack_all(Packer& out, const std::vector<T>& all) {
     out.pack_array(static_cast<std::uint32_t>(all.size()));
-    for (const T& one : all) pack(out, one);
+    for (const T& element : all) pack(out, element);
 }
 
-const msgpack::object_array& array_of(const msgpack::object& object, std::size_t least) {
-    require(object.type == msgpack::type::ARRAY && object.via.array.size >= least);
+const msgpack::object_array& array_of(const msgpack::object& object, std::size_t min_size) {
+    require(object.type == msgpack::type::ARRAY && object.via.array.size >= min_size);
     return object.via.array;
 }
 
@@ -125,9 +125,9 @@
 }
 
 template <typename T, typename Read>
-std::vector<T> decode_all(const msgpack::object& object, std::size_t most, Read read) {
+std::vector<T> decode_all(const msgpack::object& object, std::size_t max_size, Read read) {
     const auto& at = array_of(object, 0);
-    require(at.size <= most);
+    require(at.size <= max_size);
     std::vector<T> all;
     for (std::uint32_t i = 0; i < at.size; ++i) all.push_back(read(at.ptr[i]));
     return all;
@@ -151,18 +151,18 @@
     return {8, 0, kMaxCallBytes, kMaxCallBytes, 0, 2};
 }
 
-// Reads an array of at least `min_size` values whose first is the cluster's name; `read` makes the message of
-// them and may throw on malformed ones.
+// Decodes an array of at least `min_size` values, the first of which is the cluster name; `read` builds the
+// message from them and may throw on malformed values.
 template <typename Message>
 std::optional<Message> decode_body(std::string_view body, const msgpack::unpack_limit& limits,
-                                   std::size_t min_size, const std::string& cluster_name, DecodeError& bad,
+                                   std::size_t min_size, const std::string& cluster_name, DecodeError& error,
                                    Message (*read)(const msgpack::object_array&)) {
     try {
-        bad = DecodeError::malformed;
+        error = DecodeError::malformed;
         const auto handle = msgpack::unpack(body.data(), body.size(), nullptr, nullptr, limits);
         const auto& values = array_of(handle.get(), min_size);
         if (values.ptr[0].as<std::string>() != cluster_name) {
-            bad = DecodeError::wrong_protocol;
+            error = DecodeError::wrong_protocol;
             return std::nullopt;
         }
         return read(values);
@@ -207,8 +207,8 @@
 
 }  // namespace
 
-const char* name_of(DecodeError bad) {
-    switch (bad) {
+const char* name_of(DecodeError error) {
+    switch (error) {
         case DecodeError::malformed:
             return "malformed";
         case DecodeError::wrong_protocol:
@@ -233,33 +233,34 @@
         if (end > at) keys.all.push_back(text.substr(at, end - at));
         at = end + 1;
     }
-    if (keys.all.empty()) throw config::ConfigError(path + ": no key in it");
+    if (keys.all.empty()) throw config::ConfigError(path + ": contains no key");
     for (const std::string& key : keys.all)
         if (key.size() < kMinKeyBytes)
-            throw config::ConfigError(path + ": a key of under " + std::to_string(kMinKeyBytes) + " bytes");
+            throw config::ConfigError(path + ": contains a key of fewer than " +
+                                      std::to_string(kMinKeyBytes) + " bytes");
     return keys;
 }
 
-std::string MessageCodec::sealed(std::uint8_t type, std::string_view body) const {
-    std::string head(kMagic);
-    head += static_cast<char>(kProtocolVersion);
-    head += static_cast<char>(type);
-    return head + compute_mac(keys_.all.front(), head, body) + std::string(body);
+std::string MessageCodec::build_message(std::uint8_t type, std::string_view body) const {
+    std::string header(kMagic);
+    header += static_cast<char>(kProtocolVersion);
+    header += static_cast<char>(type);
+    return header + compute_mac(keys_.all.front(), header, body) + std::string(body);
 }
 
-std::optional<std::string_view> MessageCodec::opened(std::uint8_t type, std::string_view bytes,
-                                                     DecodeError& bad) const {
-    bad = DecodeError::malformed;
+std::optional<std::string_view> MessageCodec::open_message(std::uint8_t type, std::string_view bytes,
+                                                           DecodeError& error) const {
+    error = DecodeError::malformed;
     if (bytes.size() < kHeaderBytes || !bytes.starts_with(kMagic)) return std::nullopt;
-    bad = DecodeError::wrong_protocol;
+    error = DecodeError::wrong_protocol;
     if (static_cast<std::uint8_t>(bytes[2]) != kProtocolVersion ||
         static_cast<std::uint8_t>(bytes[3]) != type)
         return std::nullopt;
-    const std::string_view head = bytes.substr(0, 4), code = bytes.substr(4, kMacBytes),
+    const std::string_view header = bytes.substr(0, 4), mac = bytes.substr(4, kMacBytes),
                            body = bytes.substr(kHeaderBytes);
     for (const std::string& key : keys_.all)
-        if (CRYPTO_memcmp(compute_mac(key, head, body).data(), code.data(), kMacBytes) == 0) return body;
-    bad = DecodeError::wrong_mac;
+        if (CRYPTO_memcmp(compute_mac(key, header, body).data(), mac.data(), kMacBytes) == 0) return body;
+    error = DecodeError::wrong_mac;
     return std::nullopt;
 }
 
@@ -268,7 +269,7 @@
     msgpack::sbuffer body;
     Packer out(body);
     out.pack_array(10);
-    out.pack(group_);
+    out.pack(cluster_name_);
     out.pack(datagram.from);
     out.pack(datagram.to);
     out.pack(sequenced.start);
@@ -278,30 +279,30 @@
     out.pack(datagram.subject);
     pack_all(out, datagram.records);
     pack_all(out, datagram.suspicions);
-    return sealed(kDatagramType, {body.data(), body.size()});
+    return build_message(kDatagramType, {body.data(), body.size()});
 }
 
 std::optional<SequencedDatagram> MessageCodec::decode_datagram(std::string_view bytes,
-                                                               DecodeError& bad) const {
-    bad = DecodeError::oversized;
+                                                               DecodeError& error) const {
+    error = DecodeError::oversized;
     if (bytes.size() > kMaxDatagramBytes) return std::nullopt;
-    const auto body = opened(kDatagramType, bytes, bad);
+    const auto body = open_message(kDatagramType, bytes, error);
     if (!body) return std::nullopt;
-    return decode_body(*body, state_limits(), 10, group_, bad, read_datagram);
+    return decode_body(*body, state_limits(), 10, cluster_name_, error, read_datagram);
 }
 
 std::string MessageCodec::encode_frame(const ExchangeFrame& frame) const {
     msgpack::sbuffer body;
     Packer out(body);
     out.pack_array(7);
-    out.pack(group_);
+    out.pack(cluster_name_);
     out.pack(frame.state.from);
     out.pack(frame.to);
     out.pack(static_cast<std::uint8_t>(frame.step));
     out.pack(frame.digest);
     pack_all(out, frame.state.records);
     pack_all(out, frame.state.suspicions);
-    return prepend_length(sealed(kFrameType, {body.data(), body.size()}));
+    return prepend_length(build_message(kFrameType, {body.data(), body.size()}));
 }
 
 bool MessageCodec::is_call(std::string_view bytes) {
@@ -312,7 +313,7 @@
     msgpack::sbuffer body;
     Packer out(body);
     out.pack_array(8);
-    out.pack(group_);
+    out.pack(cluster_name_);
     out.pack(call.from);
     out.pack(call.to);
     out.pack(call.start);
@@ -320,40 +321,40 @@
     out.pack(call.is_response);
     out.pack(call.method);
     out.pack(call.body);
-    return prepend_length(sealed(kCallType, {body.data(), body.size()}));
+    return prepend_length(build_message(kCallType, {body.data(), body.size()}));
 }
 
-std::optional<CallFrame> MessageCodec::decode_call(std::string_view bytes, DecodeError& bad) const {
-    const auto body = opened(kCallType, bytes, bad);
+std::optional<CallFrame> MessageCodec::decode_call(std::string_view bytes, DecodeError& error) const {
+    const auto body = open_message(kCallType, bytes, error);
     if (!body) return std::nullopt;
-    return decode_body(*body, call_limits(), 8, group_, bad, read_call_frame);
+    return decode_body(*body, call_limits(), 8, cluster_name_, error, read_call_frame);
 }
 
 std::string MessageCodec::mac_of(std::string_view text) const {
     return compute_mac(keys_.all.front(), text, "");
 }
 
-bool MessageCodec::verify_mac(std::string_view text, std::string_view code) const {
-    return code.size() == kMacBytes &&
+bool MessageCodec::verify_mac(std::string_view text, std::string_view mac) const {
+    return mac.size() == kMacBytes &&
            std::any_of(keys_.all.begin(), keys_.all.end(), [&](const std::string& key) {
-               return CRYPTO_memcmp(compute_mac(key, text, "").data(), code.data(), kMacBytes) == 0;
+               return CRYPTO_memcmp(compute_mac(key, text, "").data(), mac.data(), kMacBytes) == 0;
            });
 }
 
-std::optional<ExchangeFrame> MessageCodec::decode_frame(std::string_view bytes, DecodeError& bad) const {
-    const auto body = opened(kFrameType, bytes, bad);
+std::optional<ExchangeFrame> MessageCodec::decode_frame(std::string_view bytes, DecodeError& error) const {
+    const auto body = open_message(kFrameType, bytes, error);
     if (!body) return std::nullopt;
-    return decode_body(*body, state_limits(), 7, group_, bad, read_exchange_frame);
+    return decode_body(*body, state_limits(), 7, cluster_name_, error, read_exchange_frame);
 }
 
-std::optional<std::string> take_frame(std::string& in, bool& oversized) {
-    if (in.size() < 4) return std::nullopt;
+std::optional<std::string> take_frame(std::string& buffer, bool& oversized) {
+    if (buffer.size() < 4) return std::nullopt;
     std::size_t length = 0;
-    for (std::size_t i = 0; i < 4; ++i) length = length << 8 | static_cast<unsigned char>(in[i]);
+    for (std::size_t i = 0; i < 4; ++i) length = length << 8 | static_cast<unsigned char>(buffer[i]);
     oversized = length > kMaxFrameBytes;
-    if (oversized || in.size() < 4 + length) return std::nullopt;
-    std::string frame = in.substr(4, length);
-    in.erase(0, 4 + length);
+    if (oversized || buffer.size() < 4 + length) return std::nullopt;
+    std::string frame = buffer.substr(4, length);
+    buffer.erase(0, 4 + length);
     return frame;
 }
 
@@ -361,32 +362,32 @@
     const auto found = windows_.find(from);
     if (found == windows_.end()) {
         if (windows_.size() >= cluster::kMaxMembers)  // evict the least recently used sender
-            windows_.erase(
-                std::min_element(windows_.begin(), windows_.end(),
-                                 [](const auto& a, const auto& b) { return a.second.used < b.second.used; }));
-        windows_[from] = {start, sequence, 0, ++uses_};
+            windows_.erase(std::min_element(
+                windows_.begin(), windows_.end(),
+                [](const auto& a, const auto& b) { return a.second.used_at < b.second.used_at; }));
+        windows_[from] = {start, sequence, 0, ++use_count_};
         return true;
     }
     Window& window = found->second;
-    window.used = ++uses_;
+    window.used_at = ++use_count_;
     if (start != window.start) {
         if (start < window.start) return false;
-        window = {start, sequence, 0, uses_};
+        window = {start, sequence, 0, use_count_};
         return true;
     }
     if (sequence > window.highest) {
         const std::uint64_t ahead = sequence - window.highest;
-        window.before = ahead > 64    ? 0
-                        : ahead == 64 ? 1ULL << 63
-                                      : (window.before << ahead) | (1ULL << (ahead - 1));
+        window.received_mask = ahead > 64    ? 0
+                               : ahead == 64 ? 1ULL << 63
+                                             : (window.received_mask << ahead) | (1ULL << (ahead - 1));
         window.highest = sequence;
         return true;
     }
     const std::uint64_t behind = window.highest - sequence;
     if (behind == 0 || behind > 64) return false;
     const std::uint64_t bit = 1ULL << (behind - 1);
-    if (window.before & bit) return false;
-    window.before |= bit;
+    if (window.received_mask & bit) return false;
+    window.received_mask |= bit;
     return true;
 }
 
--- a/src/cluster_transport/message_codec.h
+++ b/src/cluster_transport/message_codec.h
@@ -1,6 +1,6 @@
-// What peers say on the wire: MessagePack within a frame that carries a version and a message code
-// (HMAC-SHA-256, its first 16 bytes) by a key that all members have. docs/design/group.md has it byte by
-// byte.
+// Wire format between peers: MessagePack within a frame that carries a version and a message authentication
+// code (the first 16 bytes of HMAC-SHA-256) with a key shared by all members. docs/design/group.md specifies
+// it byte by byte.
 #pragma once
 
 #include <cstdint>
@@ -15,91 +15,93 @@
 namespace sumackeel::cluster_transport {
 
 constexpr std::uint8_t kProtocolVersion = 1;
-constexpr std::size_t kMaxDatagramBytes = 1'400;  // beyond any that is sent
-constexpr std::size_t kMaxFrameBytes = 4 << 20;   // a whole state of kMostMembers fits
+constexpr std::size_t kMaxDatagramBytes = 1'400;  // above the largest datagram that is sent
+constexpr std::size_t kMaxFrameBytes = 4 << 20;   // holds a full state of kMaxMembers members
 constexpr std::size_t kMaxClusterNameLength = 40;
-constexpr std::size_t kMinKeyBytes = 16;  // bytes
+constexpr std::size_t kMinKeyBytes = 16;
 
-// The first key codes what is sent, all of them check what comes: so a key is changed in two steps.
+// The first key signs what is sent, and any of them verifies what is received, so that a key can be rotated
+// in two steps.
 struct Keys {
     std::vector<std::string> all;
 };
-// A key a line, kLeastKey bytes at least. Throws ConfigError.
+// Reads one key per line, each with at least kMinKeyBytes bytes. Throws ConfigError.
 Keys load_keys(const std::string& path);
 
 enum class DecodeError { malformed, wrong_protocol, wrong_mac, replayed, oversized };
 constexpr int kDecodeErrorCount = 5;
-const char* name_of(DecodeError bad);
+const char* name_of(DecodeError error);
 
-// One datagram with what makes it unlike all others of its sender.
+// A datagram with the numbers that identify it among all datagrams of its sender.
 struct SequencedDatagram {
     cluster::Datagram datagram;
     std::uint64_t start = 0, sequence = 0;
 };
 
-// A step of an exchange of whole states.
+// A step of a state exchange.
 enum class ExchangeStep : std::uint8_t { hello = 1, same = 2, state = 3 };
 struct ExchangeFrame {
     ExchangeStep step = ExchangeStep::hello;
-    std::string to;  // empty: whoever listens there, from one that joins
+    std::string to;  // empty: any member at that address, from a member that joins
     std::uint64_t digest = 0;
-    cluster::FullState state;  // `from` always; the rest in a state
+    cluster::FullState state;  // `from` is always set; the rest only in a `state` step
 };
 
-// A question to one member and its answer, each in a frame of its own on a stream.
+// A request to one member, or its response, each in a frame of its own on a stream.
 struct CallFrame {
     std::string from, to;
-    std::uint64_t start = 0, sequence = 0;  // of the one that asks: no question is taken twice
-    bool is_response = false;               // else a question
+    std::uint64_t start = 0, sequence = 0;  // of the requester: no request is accepted twice
+    bool is_response = false;               // false: a request
     std::string method, body;
 };
 constexpr std::size_t kMaxCallBytes = 4 << 20;
 
 class MessageCodec {
   public:
-    MessageCodec(std::string group, Keys keys) : group_(std::move(group)), keys_(std::move(keys)) {}
+    MessageCodec(std::string cluster_name, Keys keys)
+        : cluster_name_(std::move(cluster_name)), keys_(std::move(keys)) {}
 
-    std::string encode_datagram(const SequencedDatagram& numbered) const;
-    // With its length before it.
+    std::string encode_datagram(const SequencedDatagram& sequenced) const;
+    // The result is prefixed with its length.
     std::string encode_frame(const ExchangeFrame& frame) const;
-    // None: `bad` says why.
-    std::optional<SequencedDatagram> decode_datagram(std::string_view bytes, DecodeError& bad) const;
+    // None: `error` says why.
+    std::optional<SequencedDatagram> decode_datagram(std::string_view bytes, DecodeError& error) const;
     std::optional<ExchangeFrame> decode_frame(std::string_view bytes,
-                                              DecodeError& bad) const;  // without its length
-    std::string encode_call(const CallFrame& call) const;               // with its length before it
+                                              DecodeError& error) const;  // without the length prefix
+    std::string encode_call(const CallFrame& call) const;                 // with the length prefix
     std::optional<CallFrame> decode_call(std::string_view bytes,
-                                         DecodeError& bad) const;  // without its length
-    static bool is_call(std::string_view bytes);                   // by its head alone
-    // The code of something by the first key, and whether a code is one by any of them.
+                                         DecodeError& error) const;  // without the length prefix
+    static bool is_call(std::string_view bytes);                     // checks the header only
+    // Computes the MAC with the first key; verifies a MAC with any of the keys.
     std::string mac_of(std::string_view text) const;
-    bool verify_mac(std::string_view text, std::string_view code) const;
+    bool verify_mac(std::string_view text, std::string_view mac) const;
 
   private:
-    std::string sealed(std::uint8_t type, std::string_view body) const;
-    std::optional<std::string_view> opened(std::uint8_t type, std::string_view bytes, DecodeError& bad) const;
+    std::string build_message(std::uint8_t type, std::string_view body) const;
+    std::optional<std::string_view> open_message(std::uint8_t type, std::string_view bytes,
+                                                 DecodeError& error) const;
 
-    std::string group_;
+    std::string cluster_name_;
     Keys keys_;
 };
 
-// Takes the first whole frame off what has come of a stream, without its length. None: it is not whole yet,
-// or
-// (`oversized`) it never will be.
-std::optional<std::string> take_frame(std::string& in, bool& oversized);
+// Removes the first complete frame from the bytes received on a stream and returns it without its length
+// prefix. None: the frame is incomplete, or (`oversized`) too long to be accepted.
+std::optional<std::string> take_frame(std::string& buffer, bool& oversized);
 
-// Which datagrams of each sender have come: a second one, one of an earlier start and one too far behind are
-// replayed. Bounded by the number of members.
+// Tracks which sequence numbers of each sender were received: a repeated one, one of an earlier start and one
+// too far behind the highest are rejected as replays. Bounded by the number of members.
 class ReplayFilter {
   public:
     bool accept(const std::string& from, std::uint64_t start, std::uint64_t sequence);
 
   private:
     struct Window {
-        std::uint64_t start = 0, highest = 0, before = 0,
-                      used = 0;  // before: bit i: highest - 1 - i has come
+        std::uint64_t start = 0, highest = 0, received_mask = 0,
+                      used_at = 0;  // bit i of received_mask: highest - 1 - i was received
     };
     std::map<std::string, Window> windows_;
-    std::uint64_t uses_ = 0;
+    std::uint64_t use_count_ = 0;
 };
 
 }  // namespace sumackeel::cluster_transport
--- a/src/cluster_transport/outgoing_call.cpp
+++ b/src/cluster_transport/outgoing_call.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxOutgoingCalls = 64;  // under way; beyond it a call fails at once
+constexpr std::size_t kMaxOutgoingCalls = 64;  // in progress; beyond it a call fails at once
 
 }  // namespace
 
@@ -56,7 +56,7 @@
     const auto response = frame ? transport_.codec_.decode_call(*frame, error) : std::nullopt;
     if (response && is_answered_by(*response)) return end(response->body);
     if (response) error = DecodeError::wrong_protocol;
-    ++transport_.metrics_.bad[static_cast<int>(error)];
+    ++transport_.metrics_.decode_errors[static_cast<int>(error)];
     end({});
 }
 
--- a/src/cluster_transport/outgoing_call.h
+++ b/src/cluster_transport/outgoing_call.h
@@ -1,5 +1,5 @@
-// One call of this member to another: a stream, the response, or the timeout. Internal to
-// src/cluster_transport.
+// One call from this member to another on its own stream, ended by the response, a failure or the timeout.
+// Internal to src/cluster_transport.
 #pragma once
 
 #include <optional>
@@ -20,7 +20,7 @@
 
     void attach(net::Stream* stream) { stream_ = stream; }
     bool is_attached() const { return stream_ != nullptr; }
-    // Ends it without a response, from the loop.
+    // Ends the call without a response, from the loop.
     void fail_soon();
 
     void on_open(net::Stream&) override;
@@ -38,7 +38,7 @@
     const CallFrame request_;
     std::string received_;  // bytes of a frame that is not complete yet
     CallCallback callback_;
-    std::optional<base::TimerQueue::Key> timeout_;  // none: it has ended
+    std::optional<base::TimerQueue::Key> timeout_;  // none: the call has ended
 };
 
 }  // namespace sumackeel::cluster_transport
--- a/src/cluster_transport/start_number.cpp
+++ b/src/cluster_transport/start_number.cpp
@@ -20,7 +20,7 @@
 constexpr const char* kLockName = "start.lock";
 constexpr std::size_t kMaxFileBytes = 256;
 
-// "sumackeel-start 1 NUMBER CHECKSUM\n", the checksum over what stands before the space.
+// "sumackeel-start 1 NUMBER CHECKSUM\n", with the checksum of the text before the last space.
 std::string text_of(std::uint64_t number) {
     const std::string content = fmt::format("sumackeel-start 1 {}", number);
     return fmt::format("{} {:016x}\n", content, XXH3_64bits(content.data(), content.size()));
@@ -57,10 +57,10 @@
     });
     if (status == base::ReadStatus::missing) fault.clear();
     if (status != base::ReadStatus::ok) return 0;
-    constexpr std::string_view kHead = "sumackeel-start 1 ";
+    constexpr std::string_view kPrefix = "sumackeel-start 1 ";
     std::uint64_t number = 0;
-    if (bytes.starts_with(kHead)) {
-        const char* from = bytes.data() + kHead.size();
+    if (bytes.starts_with(kPrefix)) {
+        const char* from = bytes.data() + kPrefix.size();
         if (std::from_chars(from, bytes.data() + bytes.size(), number).ec == std::errc{} &&
             bytes == text_of(number))
             return number;
--- a/src/cluster_transport/start_number.h
+++ b/src/cluster_transport/start_number.h
@@ -1,5 +1,5 @@
-// The number of a member's start, kept on its disk: a process that restarts under its name has a later
-// incarnation at once, whatever the clocks say.
+// The number of a member's start, stored on its disk: a restarted process has a later incarnation than its
+// predecessor without relying on clocks.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,19 @@
 
 class StartNumber {
   public:
-    // Makes the folder if it is missing.
+    // Creates the folder if it is missing.
     explicit StartNumber(std::string folder) : folder_(std::move(folder)) {}
 
-    // The number of the last start; 0: none is stored. `fault` says why where a file can't be used: a damaged
-    // one is renamed, and the number is learned from the other members.
+    // The number of the last start; 0: none is stored. `fault` says why if the file can't be used: a damaged
+    // file is renamed, and the number is then learned from the other members.
     std::uint64_t read(std::string& fault) const;
-    // Synced to disk before it returns. Empty: done; else what went wrong.
+    // Synced to disk before it returns. Returns an error message, empty on success.
     std::string write(std::uint64_t number) const;
 
-    // Stores `number` unless a greater one is. Empty: done; else what went wrong, or that another process of
-    // this member is at the file.
+    // Stores `number` unless it or a greater one is stored. Returns an error message, also where another
+    // process of this member holds the lock; empty on success.
     std::string raise_to(std::uint64_t number) const;
-    // Two processes of one member may read and write at one moment: only whoever holds this.
+    // Protects reading and writing against another process of the same member.
     std::unique_ptr<base::DirectoryLock> lock() const;
 
   private:
@@ -44,8 +44,8 @@
     Code code_;
 };
 
-// The number of this start: one more than the stored one, and stored before it returns; no two starts get the
-// same. Blocks for a bounded time; throws StartNumberError.
+// The number of this start: one more than the stored one, and stored before it returns, so that no two starts
+// get the same number. Blocks for a bounded time; throws StartNumberError.
 std::uint64_t claim_start_number(const StartNumber& stored);
 
 }  // namespace sumackeel::cluster_transport
--- a/src/cluster_transport/status_json.cpp
+++ b/src/cluster_transport/status_json.cpp
@@ -69,10 +69,10 @@
                                                          {"exchanges", metrics_.exchanges},
                                                          {"exchanges_same", metrics_.exchanges_same},
                                                          {"exchanges_failed", metrics_.exchanges_failed},
-                                                         {"capped_probe", metrics_.capped[0]},
-                                                         {"capped_indirect", metrics_.capped[1]},
-                                                         {"capped_news", metrics_.capped[2]},
-                                                         {"capped_exchange", metrics_.capped[3]},
+                                                         {"capped_probe", metrics_.rate_limited[0]},
+                                                         {"capped_indirect", metrics_.rate_limited[1]},
+                                                         {"capped_news", metrics_.rate_limited[2]},
+                                                         {"capped_exchange", metrics_.rate_limited[3]},
                                                          {"probes", membership.pings},
                                                          {"probes_failed", membership.failed_pings},
                                                          {"probes_indirect", membership.indirect_pings},
@@ -84,7 +84,8 @@
                                                          {"refused", membership.rejected}};
     for (const auto& [name, value] : all) counters[name] = Json::UInt64{value};
     for (int i = 0; i < kDecodeErrorCount; ++i)
-        counters[std::string("bad_") + name_of(static_cast<DecodeError>(i))] = Json::UInt64{metrics_.bad[i]};
+        counters[std::string("bad_") + name_of(static_cast<DecodeError>(i))] =
+            Json::UInt64{metrics_.decode_errors[i]};
     return counters;
 }
 
--- a/tests/cluster_transport/message_codec_test.cpp
+++ b/tests/cluster_transport/message_codec_test.cpp
@@ -85,7 +85,8 @@
     full.datagram.from = full.datagram.to = full.datagram.subject = name;
     full.datagram.records = {member_record(name)};
     full.start = full.sequence = full.datagram.number = UINT64_MAX;
-    std::size_t used = cluster::kFrameRoom + 3 * name.size() + cluster::max_encoded_size(member_record(name));
+    std::size_t used =
+        cluster::kMaxFrameOverheadBytes + 3 * name.size() + cluster::max_encoded_size(member_record(name));
     for (cluster::MemberRecord next = member_record("n5");
          used + cluster::max_encoded_size(next) <= cluster::kMaxDatagramBytes;) {
         next.incarnation = {UINT64_MAX, UINT64_MAX};
