--- a/src/endpoint_snapshot/snapshot_directory.cpp
+++ b/src/endpoint_snapshot/snapshot_directory.cpp
@@ -13,33 +13,34 @@
 
 namespace {
 
-base::GenerationFiles lists_in(const std::string& path) {
+base::GenerationFiles snapshot_files(const std::string& path) {
     return {path, "list-", ".sumlist"};
 }
 
 }  // namespace
 
-SnapshotDirectory::SnapshotDirectory(std::string path) : path_(std::move(path)), lists_(lists_in(path_)) {}
+SnapshotDirectory::SnapshotDirectory(std::string path)
+    : path_(std::move(path)), files_(snapshot_files(path_)) {}
 
 std::optional<SnapshotError> read_file(const std::string& path, std::string& bytes) {
-    std::string wrong;
+    std::string error;
     switch (base::read_regular_file(path, endpoints::kMaxSnapshotBytes + endpoints::kSnapshotHeaderBytes,
-                                    bytes, wrong)) {
+                                    bytes, error)) {
         case base::ReadStatus::ok:
             return std::nullopt;
         case base::ReadStatus::not_regular:
-            return SnapshotError{SnapshotError::Code::not_a_list, wrong};
+            return SnapshotError{SnapshotError::Code::not_a_list, error};
         default:
-            return SnapshotError{SnapshotError::Code::unreadable, wrong};
+            return SnapshotError{SnapshotError::Code::unreadable, error};
     }
 }
 
 LoadedSnapshot SnapshotDirectory::read(const endpoints::NameTables& names, const std::string& site,
                                        base::UnixTime wall_now) const {
-    LoadedSnapshot found;
-    for (const std::uint64_t generation : lists_.generations()) {
-        const std::string file = lists_.path_of(generation);
-        found.generation = std::max(found.generation, generation);
+    LoadedSnapshot result;
+    for (const std::uint64_t generation : files_.generations()) {
+        const std::string file = files_.path_of(generation);
+        result.generation = std::max(result.generation, generation);
         std::string bytes;
         std::optional<SnapshotError> fault = read_file(file, bytes);
         DecodedSnapshot decoded;
@@ -50,32 +51,32 @@
         if (!fault) {
             fault = endpoints::validate(decoded.snapshot, site, wall_now);
             if (fault && fault->code == SnapshotError::Code::wrong_clock)
-                found.warnings.push_back(std::move(decoded.snapshot));
+                result.warnings.push_back(std::move(decoded.snapshot));
         }
         if (fault) {
-            found.skipped.push_back({file, *fault});
+            result.skipped.push_back({file, *fault});
             continue;
         }
-        found.snapshot = std::move(decoded.snapshot);
-        found.file = file;
-        found.good_generation = generation;
-        found.left_out = decoded.left_out;
+        result.snapshot = std::move(decoded.snapshot);
+        result.file = file;
+        result.good_generation = generation;
+        result.left_out = decoded.left_out;
         break;
     }
-    return found;
+    return result;
 }
 
 std::string SnapshotDirectory::write(const std::string& bytes, std::uint64_t generation,
-                                     std::uint64_t keep) const {
-    return lists_.write(bytes, generation, keep);
+                                     std::uint64_t keep_generation) const {
+    return files_.write(bytes, generation, keep_generation);
 }
 
 std::string newest_snapshot_path(const std::string& path) {
     std::error_code fault;
     if (!std::filesystem::is_directory(path, fault)) return path;
-    const base::GenerationFiles lists = lists_in(path);
-    const auto generations = lists.generations();
-    return lists.path_of(generations.empty() ? 0 : generations.front());
+    const base::GenerationFiles files = snapshot_files(path);
+    const auto generations = files.generations();
+    return files.path_of(generations.empty() ? 0 : generations.front());
 }
 
 }  // namespace sumackeel::endpoint_snapshot
--- a/src/endpoint_snapshot/snapshot_directory.h
+++ b/src/endpoint_snapshot/snapshot_directory.h
@@ -1,5 +1,5 @@
-// The folder in which a list is kept: one file a generation, the last two kept. All calls block on the disk
-// and belong off the loop; none throws.
+// The folder that holds the endpoint snapshots: one file per generation, of which the last two are retained.
+// All functions block on the disk and must not run on the event loop; none throws.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,22 @@
 
 namespace sumackeel::endpoint_snapshot {
 
-// A file that was passed over, and why.
+// A file that was skipped, and why.
 struct SkippedFile {
     std::string file;
     endpoints::SnapshotError fault;
 };
 
-// What a folder held.
+// The result of reading a folder.
 struct LoadedSnapshot {
-    std::optional<endpoints::Snapshot> snapshot;  // the newest that can be used
-    std::string file;                             // where that was
-    std::uint64_t generation = 0;                 // the highest seen, of a good or a bad file
-    std::uint64_t good_generation = 0;            // of `list`; 0: none
-    std::size_t left_out = 0;                     // members of zones or kinds no longer known
-    std::vector<SkippedFile> skipped;             // newer ones that can't
-    std::vector<endpoints::Snapshot> warnings;  // of those passed over for the clock alone: drains and purges
-    std::shared_ptr<base::DirectoryLock> lock;  // set by Loading
+    std::optional<endpoints::Snapshot> snapshot;  // the newest usable one
+    std::string file;                             // the path of that one
+    std::uint64_t generation = 0;                 // the highest found, of a usable file or not
+    std::uint64_t good_generation = 0;            // of `snapshot`; 0: none
+    std::size_t left_out = 0;                     // endpoints of zones or kinds that are no longer known
+    std::vector<SkippedFile> skipped;             // newer files that can't be used
+    std::vector<endpoints::Snapshot> warnings;    // skipped only for a wrong clock: drains and purges apply
+    std::shared_ptr<base::DirectoryLock> lock;    // set by SnapshotLoader
 };
 
 class SnapshotDirectory {
@@ -39,19 +39,20 @@
     const std::string& path() const { return path_; }
     LoadedSnapshot read(const endpoints::NameTables& names, const std::string& site,
                         base::UnixTime wall_now) const;
-    // Puts a new generation beside `keep`, the last good one, and removes all others: whole or not at all.
-    // Empty: it is on disk; else what went wrong, and the folder is as it was.
-    std::string write(const std::string& bytes, std::uint64_t generation, std::uint64_t keep) const;
+    // Atomically writes a new generation next to `keep_generation`, the last good one, and removes all
+    // others. Returns an empty string on success, or an error message, in which case the folder is unchanged.
+    std::string write(const std::string& bytes, std::uint64_t generation,
+                      std::uint64_t keep_generation) const;
 
   private:
     std::string path_;
-    base::GenerationFiles lists_;
+    base::GenerationFiles files_;
 };
 
-// A file's bytes; a fault where it can't be read or is too long to be a list.
+// Reads a file; returns an error if it can't be read or is too long for a snapshot.
 std::optional<endpoints::SnapshotError> read_file(const std::string& path, std::string& bytes);
 
-// The newest generation where `path` is a folder, good or not; else the path itself. For tools.
+// The file of the newest generation, usable or not, if `path` is a folder; otherwise `path`. For tools.
 std::string newest_snapshot_path(const std::string& path);
 
 }  // namespace sumackeel::endpoint_snapshot
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,4 +1,4 @@
-// Membership on a virtual clock: its guarantees over many seeds and random faults, and single cases.
+// Membership on a virtual clock: its guarantees with many seeds and random faults, and single cases.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,7 +14,7 @@
 
 constexpr Micros kPeriod = 1'000'000;
 constexpr int kSeeds = 500;
-// After the last fault all members see each other within this, at 3 to 9 members.
+// Upper bound for 3 to 9 members to see each other after the last fault.
 constexpr int kMaxPeriodsToConverge = 90;
 
 // Counts deaths and suspicions that any member sees, and checks that incarnations only grow.
@@ -109,12 +109,12 @@
     }
 }
 
-// Gossip as a faulty member sends it, still without the claims it forges.
+// Gossip of a faulty member, without the forged claims.
 Datagram gossip_from(const MemberRecord& sender, const std::string& to) {
     return {.kind = MessageKind::gossip, .from = sender.name, .to = to, .records = {sender}};
 }
 
-// Suspicions of n1 under several members' names, a leave and a later start that n1 never had.
+// Suspicions of the victim in the names of several members, and a leave and a later start that it never had.
 Datagram forged_claims(const MemberRecord& liar, const MemberRecord& victim, const std::string& to,
                        std::uint64_t number) {
     Datagram forged = gossip_from(liar, to);
@@ -134,7 +134,7 @@
     return forged;
 }
 
-// To the victim: that another process uses its name.
+// Tells the victim that another process uses its name.
 Datagram forged_displacement(const MemberRecord& liar, const MemberRecord& victim) {
     Datagram forged = gossip_from(liar, victim.name);
     MemberRecord other = victim;
@@ -300,7 +300,7 @@
     };
     EXPECT_TRUE(converges_within(net, 60));
     EXPECT_LE(largest, kMaxDatagramBytes);
-    EXPECT_GT(largest, kMaxDatagramBytes / 2);  // some were full
+    EXPECT_GT(largest, kMaxDatagramBytes / 2);  // some were nearly full
 }
 
 }  // namespace sumackeel::cluster
--- a/tests/cluster_transport/message_codec_test.cpp
+++ b/tests/cluster_transport/message_codec_test.cpp
@@ -1,4 +1,5 @@
-// What comes off the wire and the disk is checked: each byte that differs is noticed, nothing of it is used.
+// Verification of data from the wire and the disk: any changed byte is detected, and nothing of such data is
+// used.
 #include "cluster_transport/message_codec.h"
 
 #include <gtest/gtest.h>
@@ -47,12 +48,12 @@
             .sequence = 77};
 }
 
-struct Scratch {
-    Scratch() {
+struct TempDirectory {
+    TempDirectory() {
         std::string form = (std::filesystem::temp_directory_path() / "sumackeel-XXXXXX").string();
         path = mkdtemp(form.data());
     }
-    ~Scratch() { std::filesystem::remove_all(path); }
+    ~TempDirectory() { std::filesystem::remove_all(path); }
     void write(const std::string& name, const std::string& text) const {
         std::ofstream(path + '/' + name, std::ios::binary) << text;
     }
@@ -69,8 +70,8 @@
 
 TEST(MessageCodec, DatagramRoundTrips) {
     const MessageCodec codec("school", kKeys);
-    DecodeError bad{};
-    const auto back = codec.decode_datagram(codec.encode_datagram(sequenced_datagram()), bad);
+    DecodeError error{};
+    const auto back = codec.decode_datagram(codec.encode_datagram(sequenced_datagram()), error);
     ASSERT_TRUE(back);
     EXPECT_EQ(back->sequence, 77U);
     EXPECT_EQ(back->start, 3U);
@@ -100,26 +101,27 @@
 
 TEST(MessageCodec, RejectsEachChangedByteAndEachTruncation) {
     const MessageCodec codec("school", kKeys);
-    const std::string sound = codec.encode_datagram(sequenced_datagram());
-    DecodeError bad{};
-    for (std::size_t at = 0; at < sound.size(); ++at) {
-        std::string flipped = sound;
+    const std::string valid = codec.encode_datagram(sequenced_datagram());
+    DecodeError error{};
+    for (std::size_t at = 0; at < valid.size(); ++at) {
+        std::string flipped = valid;
         flipped[at] = static_cast<char>(flipped[at] ^ 0x10);
-        EXPECT_FALSE(codec.decode_datagram(flipped, bad)) << at;
-        EXPECT_FALSE(codec.decode_datagram(sound.substr(0, at), bad)) << at;
+        EXPECT_FALSE(codec.decode_datagram(flipped, error)) << at;
+        EXPECT_FALSE(codec.decode_datagram(valid.substr(0, at), error)) << at;
     }
-    EXPECT_FALSE(codec.decode_datagram(std::string(kMaxDatagramBytes + 1, 'S'), bad));
-    EXPECT_EQ(bad, DecodeError::oversized);
+    EXPECT_FALSE(codec.decode_datagram(std::string(kMaxDatagramBytes + 1, 'S'), error));
+    EXPECT_EQ(error, DecodeError::oversized);
 }
 
 TEST(MessageCodec, RejectsOtherKeysAndClustersAndAcceptsAnOldKey) {
     const std::string bytes = MessageCodec("school", kKeys).encode_datagram(sequenced_datagram());
-    DecodeError bad{};
-    EXPECT_FALSE(MessageCodec("school", {{"another key of ours"}}).decode_datagram(bytes, bad));
-    EXPECT_EQ(bad, DecodeError::wrong_mac);
-    EXPECT_FALSE(MessageCodec("other", kKeys).decode_datagram(bytes, bad));
-    EXPECT_EQ(bad, DecodeError::wrong_protocol);
-    EXPECT_TRUE(MessageCodec("school", {{"another key of ours", kKeys.all[0]}}).decode_datagram(bytes, bad));
+    DecodeError error{};
+    EXPECT_FALSE(MessageCodec("school", {{"another key of ours"}}).decode_datagram(bytes, error));
+    EXPECT_EQ(error, DecodeError::wrong_mac);
+    EXPECT_FALSE(MessageCodec("other", kKeys).decode_datagram(bytes, error));
+    EXPECT_EQ(error, DecodeError::wrong_protocol);
+    EXPECT_TRUE(
+        MessageCodec("school", {{"another key of ours", kKeys.all[0]}}).decode_datagram(bytes, error));
 }
 
 TEST(MessageCodec, FrameRoundTripsAndIsNoDatagram) {
@@ -131,27 +133,27 @@
                                   .records = sequenced_datagram().datagram.records,
                                   .suspicions = sequenced_datagram().datagram.suspicions}};
     const std::string bytes = codec.encode_frame(frame);
-    DecodeError bad{};
-    const auto back = codec.decode_frame(std::string_view(bytes).substr(4), bad);
+    DecodeError error{};
+    const auto back = codec.decode_frame(std::string_view(bytes).substr(4), error);
     ASSERT_TRUE(back);
     EXPECT_EQ(back->state.records, frame.state.records);
     EXPECT_EQ(back->digest, 5U);
-    EXPECT_FALSE(codec.decode_datagram(std::string_view(bytes).substr(4), bad));
+    EXPECT_FALSE(codec.decode_datagram(std::string_view(bytes).substr(4), error));
 }
 
 TEST(ReplayFilter, AcceptsEachSequenceNumberOfAStartOnceInAnyOrder) {
-    ReplayFilter seen;
-    EXPECT_TRUE(seen.accept("a", 1, 10));
-    EXPECT_FALSE(seen.accept("a", 1, 10));
-    EXPECT_TRUE(seen.accept("a", 1, 8));
-    EXPECT_FALSE(seen.accept("a", 1, 8));
-    EXPECT_TRUE(seen.accept("a", 1, 74));
-    EXPECT_FALSE(seen.accept("a", 1, 10));  // the furthest that is remembered
-    EXPECT_TRUE(seen.accept("a", 1, 11));
-    EXPECT_FALSE(seen.accept("a", 1, 9));  // too far behind to know
-    EXPECT_TRUE(seen.accept("a", 2, 1));
-    EXPECT_FALSE(seen.accept("a", 1, 200));
-    EXPECT_TRUE(seen.accept("b", 1, 10));
+    ReplayFilter filter;
+    EXPECT_TRUE(filter.accept("a", 1, 10));
+    EXPECT_FALSE(filter.accept("a", 1, 10));
+    EXPECT_TRUE(filter.accept("a", 1, 8));
+    EXPECT_FALSE(filter.accept("a", 1, 8));
+    EXPECT_TRUE(filter.accept("a", 1, 74));
+    EXPECT_FALSE(filter.accept("a", 1, 10));  // the oldest one in the window
+    EXPECT_TRUE(filter.accept("a", 1, 11));
+    EXPECT_FALSE(filter.accept("a", 1, 9));  // below the window
+    EXPECT_TRUE(filter.accept("a", 2, 1));
+    EXPECT_FALSE(filter.accept("a", 1, 200));
+    EXPECT_TRUE(filter.accept("b", 1, 10));
 }
 
 TEST(RateLimiter, AccumulatesAtMostOneSecond) {
@@ -163,39 +165,39 @@
 }
 
 TEST(StartNumber, IsStoredAndADamagedFileIsRenamed) {
-    const Scratch scratch;
-    const StartNumber number(scratch.path + "/state");
+    const TempDirectory directory;
+    const StartNumber number(directory.path + "/state");
     std::string fault;
     EXPECT_EQ(number.read(fault), 0U);
     EXPECT_EQ(fault, "");
     ASSERT_EQ(number.write(41), "");
     EXPECT_EQ(number.read(fault), 41U);
-    const std::string sound = scratch.read("state/start");
-    for (std::size_t at = 0; at < sound.size(); ++at) {
-        std::string flipped = sound;
+    const std::string valid = directory.read("state/start");
+    for (std::size_t at = 0; at < valid.size(); ++at) {
+        std::string flipped = valid;
         flipped[at] = static_cast<char>(flipped[at] ^ 1);
-        scratch.write("state/start", flipped);
+        directory.write("state/start", flipped);
         EXPECT_EQ(number.read(fault), 0U) << at;
         EXPECT_NE(fault, "") << at;
-        scratch.write("state/start", sound.substr(0, at));
+        directory.write("state/start", valid.substr(0, at));
         EXPECT_EQ(number.read(fault), 0U) << at;
     }
-    EXPECT_TRUE(std::filesystem::exists(scratch.path + "/state/start.bad"));
+    EXPECT_TRUE(std::filesystem::exists(directory.path + "/state/start.bad"));
 }
 
-// Guards: two processes of one member that started at one moment read the same number.
+// Guards against two processes of one member that start at the same time and claim the same number.
 TEST(StartNumber, IsNeverGivenTwice) {
-    const Scratch scratch;
-    const StartNumber number(scratch.path + "/state");
+    const TempDirectory directory;
+    const StartNumber number(directory.path + "/state");
     constexpr std::size_t kStarts = 12;
     std::vector<std::uint64_t> claimed(kStarts);
     std::vector<std::thread> starts;
     for (std::uint64_t& one : claimed)
         starts.emplace_back([&number, &one] { one = claim_start_number(number); });
     for (std::thread& start : starts) start.join();
-    const std::set<std::uint64_t> different(claimed.begin(), claimed.end());
-    EXPECT_EQ(different.size(), kStarts);
-    EXPECT_EQ(*different.rbegin(), kStarts);
+    const std::set<std::uint64_t> distinct(claimed.begin(), claimed.end());
+    EXPECT_EQ(distinct.size(), kStarts);
+    EXPECT_EQ(*distinct.rbegin(), kStarts);
     std::string fault;
     EXPECT_EQ(number.raise_to(5), "");
     EXPECT_EQ(number.read(fault), kStarts);
@@ -204,14 +206,14 @@
 }
 
 TEST(Keys, RejectsAShortOrMissingKey) {
-    const Scratch scratch;
-    EXPECT_THROW(load_keys(scratch.path + "/none"), config::ConfigError);
-    scratch.write("key", "short\n");
-    EXPECT_THROW(load_keys(scratch.path + "/key"), config::ConfigError);
-    scratch.write("key", "");
-    EXPECT_THROW(load_keys(scratch.path + "/key"), config::ConfigError);
-    scratch.write("key", "0123456789abcdef\n\nfedcba9876543210\n");
-    EXPECT_EQ(load_keys(scratch.path + "/key").all.size(), 2U);
+    const TempDirectory directory;
+    EXPECT_THROW(load_keys(directory.path + "/none"), config::ConfigError);
+    directory.write("key", "short\n");
+    EXPECT_THROW(load_keys(directory.path + "/key"), config::ConfigError);
+    directory.write("key", "");
+    EXPECT_THROW(load_keys(directory.path + "/key"), config::ConfigError);
+    directory.write("key", "0123456789abcdef\n\nfedcba9876543210\n");
+    EXPECT_EQ(load_keys(directory.path + "/key").all.size(), 2U);
 }
 
 }  // namespace sumackeel::cluster_transport
--- a/tests/endpoints/watch_sources_test.cpp
+++ b/tests/endpoints/watch_sources_test.cpp
@@ -1,4 +1,4 @@
-// Several change logs: order, waits, and which is believed.
+// Several change logs: their order, the waits before reconnecting, and which are proven.
 #include "endpoints/watch_sources.h"
 
 #include <gtest/gtest.h>
@@ -10,16 +10,16 @@
 using Kind = WatchSources::Step::Kind;
 using State = WatchSources::State;
 
-WatchOptions several(int follow = 1) {
-    WatchOptions set;
-    set.longest_wait = 5 * kSecond;
-    set.jitter = 0.5;
-    set.follow = follow;
-    set.prove = true;
-    return set;
+WatchOptions options_with_proof(int follow = 1) {
+    WatchOptions options;
+    options.longest_wait = 5 * kSecond;
+    options.jitter = 0.5;
+    options.follow = follow;
+    options.prove = true;
+    return options;
 }
 
-std::vector<std::size_t> called(const std::vector<WatchSources::Step>& steps) {
+std::vector<std::size_t> called_sources(const std::vector<WatchSources::Step>& steps) {
     std::vector<std::size_t> all;
     for (const auto& step : steps)
         if (step.kind == Kind::call) all.push_back(step.source);
@@ -32,67 +32,67 @@
     sources.on_event(source, newest, newest, now);
 }
 
-using List = std::vector<std::size_t>;
+using Indices = std::vector<std::size_t>;
 
 }  // namespace
 
 TEST(Sources, OneIsCalledAgainAfterAShortFixedWait) {
     WatchSources sources(1, {}, 1);
-    EXPECT_EQ(called(sources.next_steps(0, 3)), List{0});
+    EXPECT_EQ(called_sources(sources.next_steps(0, 3)), Indices{0});
     sources.on_connected(0, 10);
-    EXPECT_TRUE(sources.on_data(0, 20));  // the only one is proven with its first byte
+    EXPECT_TRUE(sources.on_data(0, 20));  // a single source is proven by its first byte
     for (int i = 0; i < 20; ++i) {
         const Micros at = (i + 1) * kSecond;
         sources.on_disconnected(0, at, "closed");
         EXPECT_TRUE(sources.next_steps(at + 99'999, 3).empty());
         const auto steps = sources.next_steps(at + 100'000, 3);
-        ASSERT_EQ(called(steps), List{0});
+        ASSERT_EQ(called_sources(steps), Indices{0});
         EXPECT_EQ(steps[0].behind, 3);
     }
 }
 
 TEST(Sources, TheNextInOrderIsCalledWhenTheFirstFails) {
-    WatchSources sources(3, several(), 1);
-    EXPECT_EQ(called(sources.next_steps(0, 5)), List{0});
-    EXPECT_EQ(*sources.next_deadline(), 0);  // those at rest may be called at any time
+    WatchSources sources(3, options_with_proof(), 1);
+    EXPECT_EQ(called_sources(sources.next_steps(0, 5)), Indices{0});
+    EXPECT_EQ(*sources.next_deadline(), 0);  // resting sources may be called at any time
     sources.on_disconnected(0, 1000, "refused");
-    EXPECT_EQ(called(sources.next_steps(1000, 5)), List{1});
+    EXPECT_EQ(called_sources(sources.next_steps(1000, 5)), Indices{1});
     const auto late =
-        sources.next_steps(1000 + kSecond + 1, 5);  // no answer in time: dropped, both others are called
+        sources.next_steps(1000 + kSecond + 1, 5);  // response timeout: dropped, and both others are called
     EXPECT_EQ(late[0].kind, Kind::drop);
     EXPECT_EQ(late[0].source, 1u);
 }
 
-// Guards: a log that lags behind and only says that it lives would keep an old list for current.
+// Guards against a change log that lags behind, but is alive, confirming an outdated list.
 TEST(Sources, OneThatLagsBehindIsNotProvenAndTheNextIsFollowedToo) {
-    WatchSources sources(2, several(), 1);
+    WatchSources sources(2, options_with_proof(), 1);
     const auto steps = sources.next_steps(0, 50);
-    EXPECT_EQ(steps[0].behind, 49);  // one that holds 50 has to tell it again
+    EXPECT_EQ(steps[0].behind, 49);  // a source that has 50 must send it again
     sources.on_connected(0, 10);
     EXPECT_FALSE(sources.on_data(0, 20));
-    EXPECT_EQ(called(sources.next_steps(30, 50)), List{1});
+    EXPECT_EQ(called_sources(sources.next_steps(30, 50)), Indices{1});
     sources.on_connected(1, 40);
     EXPECT_FALSE(sources.on_data(1, 50));
     EXPECT_EQ(sources.on_event(1, 50, 50, 60), WatchSources::EventResult::duplicate);
     EXPECT_TRUE(sources.on_data(1, 70));
     EXPECT_FALSE(sources.on_data(0, 80));
-    EXPECT_EQ(sources.on_event(0, 51, 50, 90), WatchSources::EventResult::apply);  // it caught up
+    EXPECT_EQ(sources.on_event(0, 51, 50, 90), WatchSources::EventResult::apply);  // it has caught up
     EXPECT_TRUE(sources.on_data(0, 100));
-    const auto went_back = sources.next_steps(110, 51);  // the first in order is enough again
+    const auto went_back = sources.next_steps(110, 51);  // the first in order suffices again
     ASSERT_EQ(went_back.size(), 1u);
     EXPECT_EQ(went_back[0].kind, Kind::drop);
     EXPECT_EQ(went_back[0].source, 1u);
 }
 
-// Guards: one that was current when it was called and then stopped growing still says each second that it
-// lives.
+// Guards against a source that was current when it was called and then stopped receiving events, but still
+// sends a sign of life each second.
 TEST(Sources, OneThatFallsBehindLaterIsNoLongerProven) {
-    WatchSources sources(2, several(2), 1);
-    EXPECT_EQ(called(sources.next_steps(0, 5)), (List{0, 1}));
+    WatchSources sources(2, options_with_proof(2), 1);
+    EXPECT_EQ(called_sources(sources.next_steps(0, 5)), (Indices{0, 1}));
     follow(sources, 0, 10, 5);
     follow(sources, 1, 10, 5);
     EXPECT_EQ(sources.on_event(1, 6, 5, kSecond), WatchSources::EventResult::apply);
-    EXPECT_TRUE(sources.on_data(0, kSecond + 1));  // they may be a little apart
+    EXPECT_TRUE(sources.on_data(0, kSecond + 1));  // within the allowed lag
     EXPECT_TRUE(sources.on_data(0, 3 * kSecond - 1));
     EXPECT_FALSE(sources.on_data(0, 3 * kSecond));
     EXPECT_TRUE(sources.on_data(1, 3 * kSecond));
@@ -101,22 +101,22 @@
 }
 
 TEST(Sources, OneThatGoesBackIsNotBelieved) {
-    WatchSources sources(2, several(), 1);
+    WatchSources sources(2, options_with_proof(), 1);
     sources.next_steps(0, 50);
     follow(sources, 0, 10, 50);
     EXPECT_EQ(sources.on_event(0, 51, 50, 20), WatchSources::EventResult::apply);
-    EXPECT_EQ(sources.on_event(0, 51, 51, 30), WatchSources::EventResult::duplicate);  // written twice
+    EXPECT_EQ(sources.on_event(0, 51, 51, 30), WatchSources::EventResult::duplicate);  // sent twice
     EXPECT_EQ(sources.on_event(0, 12, 51, 40), WatchSources::EventResult::regressed);
-    EXPECT_EQ(sources.on_event(0, 13, 51, 50), WatchSources::EventResult::duplicate);  // said once
+    EXPECT_EQ(sources.on_event(0, 13, 51, 50), WatchSources::EventResult::duplicate);  // reported once
     EXPECT_TRUE(sources.health()[0].regressed);
 }
 
-// Guards: discovery that flaps each second must not be called ten times a second by every proxy at once.
+// Guards against every proxy reconnecting ten times a second at the same moments when discovery flaps.
 TEST(Sources, FlappingWaitsGrowWithJitterAndASteadyConnectionEndsThem) {
-    WatchSources sources(1, several(), 7);
+    WatchSources sources(1, options_with_proof(), 7);
     Micros now = 0, last_wait = 0;
     for (int flaps = 0; flaps < 10; ++flaps) {
-        ASSERT_EQ(called(sources.next_steps(now, 5)), List{0});
+        ASSERT_EQ(called_sources(sources.next_steps(now, 5)), Indices{0});
         follow(sources, 0, now, 5);
         now += kSecond;
         sources.on_disconnected(0, now, "closed");
@@ -130,11 +130,11 @@
     follow(sources, 0, now, 5);
     for (int s = 1; s <= 11; ++s) sources.on_data(0, now + s * kSecond);
     EXPECT_EQ(sources.health()[0].failures, 0);
-    WatchSources other(1, several(), 8);
+    WatchSources other(1, options_with_proof(), 8);
     other.next_steps(0, 5), other.on_disconnected(0, 0, "x"), other.next_steps(*other.next_deadline(), 5);
-    WatchSources third(1, several(), 9);
+    WatchSources third(1, options_with_proof(), 9);
     third.next_steps(0, 5), third.on_disconnected(0, 0, "x"), third.next_steps(*third.next_deadline(), 5);
-    EXPECT_NE(other.health()[0].retry_at, third.health()[0].retry_at);  // not all at once
+    EXPECT_NE(other.health()[0].retry_at, third.health()[0].retry_at);  // jitter
 }
 
 TEST(Sources, ASilentOneIsDropped) {
@@ -150,11 +150,11 @@
 }
 
 TEST(Sources, AnotherListIsCalledAtOnce) {
-    WatchSources sources(1, several(), 1);
+    WatchSources sources(1, options_with_proof(), 1);
     for (Micros now = 0; now < 100; ++now)
         sources.next_steps(now, 5), sources.on_disconnected(0, now, "refused");
     sources.replace(2);
-    EXPECT_EQ(called(sources.next_steps(200, 5)), List{0});
+    EXPECT_EQ(called_sources(sources.next_steps(200, 5)), Indices{0});
     EXPECT_EQ(sources.health()[0].state, State::calling);
 }
 
