--- a/src/daemon/endpoint_manager.cpp
+++ b/src/daemon/endpoint_manager.cpp
@@ -44,7 +44,7 @@
     }
     // Only where the list's age counts, or purges must be surely known, must a source show that it is not
     // behind.
-    options.prove = setup.discovery || setup.endpoint_snapshot || setup.recovery;
+    options.require_proof = setup.discovery || setup.endpoint_snapshot || setup.recovery;
     return options;
 }
 
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -202,7 +202,7 @@
     const Took took = sources_.on_event(source, change.sequence, last_seq_, loop_.clock().now());
     if (took == Took::regressed)
         log::warn("discovery: sequence regressed log={} sequence={} newest={}", addresses_[source],
-                  change.sequence, sources_.health()[source].on_this);
+                  change.sequence, sources_.health()[source].highest_on_connection);
     if (took == Took::apply) apply(change, static_cast<int>(source));
 }
 
--- a/src/endpoints/watch_sources.cpp
+++ b/src/endpoints/watch_sources.cpp
@@ -44,7 +44,8 @@
 
 void WatchSources::update_proven(Health& health, Micros now) {
     health.proven = health.state == State::following &&
-                    (!options_.prove || (health.on_this > 0 && health.on_this >= settled_sequence(now)));
+                    (!options_.require_proof || (health.highest_on_connection > 0 &&
+                                                 health.highest_on_connection >= settled_sequence(now)));
 }
 
 // Whether a source counts as followed: it is proven, or it was just connected and may still respond.
@@ -107,10 +108,11 @@
         }
         if (health.state == State::resting && now >= health.retry_at) {
             // Requested from one number before, a source that has the newest event must send it again.
-            const std::int64_t behind = options_.prove ? std::max<std::int64_t>(0, newest - 1) : newest;
+            const std::int64_t behind =
+                options_.require_proof ? std::max<std::int64_t>(0, newest - 1) : newest;
             health.state = State::calling;
             health.since = now;
-            health.on_this = 0;
+            health.highest_on_connection = 0;
             health.regressed = false;
             health.proven = false;
             steps.push_back({Step::Kind::call, i, behind});
@@ -153,8 +155,8 @@
 WatchSources::EventResult WatchSources::on_event(std::size_t source, std::int64_t sequence,
                                                  std::int64_t newest, Micros now) {
     Health& health = health_[source];
-    const bool went_back = sequence < health.on_this;
-    health.on_this = std::max(health.on_this, sequence);
+    const bool went_back = sequence < health.highest_on_connection;
+    health.highest_on_connection = std::max(health.highest_on_connection, sequence);
     health.highest = std::max(health.highest, sequence);
     record_newest(std::max(sequence, newest), now);
     on_data(source, now);
--- a/src/endpoints/watch_sources.h
+++ b/src/endpoints/watch_sources.h
@@ -30,7 +30,7 @@
     Micros stable_after = 10'000'000;     // a connection that lasts this long resets the failure count
     int follow = 1;                       // number of sources followed at a time, at least 1
     Micros max_lag = 2'000'000;           // allowed delay of one source behind another
-    bool prove = false;                   // false: proven by its first byte, which a single source needs
+    bool require_proof = false;           // false: proven by its first byte, which a single source needs
 };
 
 class WatchSources {
@@ -39,11 +39,11 @@
     struct Health {
         State state = State::resting;
         bool proven = false;
-        bool regressed = false;    // sent a lower number than before on the same connection
-        int failures = 0;          // in a row
-        std::int64_t highest = 0;  // number that it ever sent
-        std::int64_t on_this = 0;  // the highest number on the current connection
-        Micros since = 0;          // in the current state
+        bool regressed = false;                  // sent a lower number than before on the same connection
+        int failures = 0;                        // in a row
+        std::int64_t highest = 0;                // number that it ever sent
+        std::int64_t highest_on_connection = 0;  // the highest number on the current connection
+        Micros since = 0;                        // in the current state
         Micros last_byte_at = 0;
         Micros retry_at = 0;
         std::string last_fault;  // why its last connection ended
--- a/tests/endpoints/watch_sources_test.cpp
+++ b/tests/endpoints/watch_sources_test.cpp
@@ -15,7 +15,7 @@
     options.longest_wait = 5 * kSecond;
     options.jitter = 0.5;
     options.follow = follow;
-    options.prove = true;
+    options.require_proof = true;
     return options;
 }
 
