--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -207,7 +207,7 @@
     const EventResult result = sources_.on_event(source, change.sequence, last_seq_, loop_.clock().now());
     if (result == EventResult::regressed)
         log::warn("discovery: sequence regressed log={} sequence={} newest={}", addresses_[source],
-                  change.sequence, sources_.health()[source].on_this);
+                  change.sequence, sources_.health()[source].highest_on_connection);
     if (result == EventResult::apply) apply(change, static_cast<int>(source));
 }
 
