--- a/src/rollout/release_plan.cpp
+++ b/src/rollout/release_plan.cpp
@@ -52,7 +52,7 @@
         const auto* real = std::get_if<double>(&node->value);
         const double value = integer ? static_cast<double>(*integer) : real ? *real : std::nan("");
         if (!(value >= min && value <= max))
-            fail(key, fmt::format("expected a number from {} to {}", min, max));
+            fail(key, fmt::format("a number from {} to {} is wanted", min, max));
         return value;
     }
     void reject_unknown_keys() const {
@@ -66,7 +66,7 @@
         const bool valid =
             value && !value->empty() && value->size() <= kMaxTextLength &&
             std::all_of(value->begin(), value->end(), [](unsigned char c) { return c > ' ' && c < 0x7f; });
-        if (!valid) fail(key, "expected 1 to 64 printable ASCII characters without spaces");
+        if (!valid) fail(key, "a string of 1 to 64 printable characters without blanks is wanted");
         return *value;
     }
 
@@ -80,14 +80,14 @@
     if (!node) return all;
     const auto* list = std::get_if<config::Node::List>(&node->value);
     if (!list || list->empty() || list->size() > kMaxReleaseMembers)
-        reader.fail("members", "expected a non-empty list of at most 4096 names");
+        reader.fail("members", "a list of names is wanted");
     std::vector<std::string> members;
     for (const config::Node& item : *list) {
         const auto* name = std::get_if<std::string>(&item.value);
         if (!name || name->empty() || name->size() > kMaxMemberLength)
-            reader.fail("members", "expected a name of 1 to 64 characters");
+            reader.fail("members", "a name is wanted");
         if (std::find(members.begin(), members.end(), *name) != members.end())
-            reader.fail("members", *name + " is listed twice");
+            reader.fail("members", *name + " stands there twice");
         members.push_back(*name);
     }
     return members;
@@ -110,9 +110,7 @@
         return static_cast<std::size_t>(std::min<std::int64_t>(*count, kMaxReleaseMembers));
     const auto* text = std::get_if<std::string>(&item.value);
     const std::optional<int> percent = text ? parse_percent(*text) : std::nullopt;
-    if (!percent)
-        reader.fail("waves",
-                    "expected a positive number of members, or a percentage from \"1%\" to \"100%\"");
+    if (!percent) reader.fail("waves", "each is a number of members, or a share like \"25%\"");
     return (members * static_cast<std::size_t>(*percent) + 99) / 100;
 }
 
@@ -128,7 +126,7 @@
     };
     if (const config::Node* node = reader.find("waves")) {
         const auto* list = std::get_if<config::Node::List>(&node->value);
-        if (!list) reader.fail("waves", "expected a list such as [1, 3, \"25%\"]");
+        if (!list) reader.fail("waves", "a list like [1, 3, \"25%\"] is wanted");
         for (const config::Node& item : *list) add_wave(read_wave(reader, item, members));
     } else {
         add_wave(1);
@@ -164,10 +162,10 @@
     plan.name = reader.required_text("name");
     plan.subject = reader.text_or("what", "program");
     if (plan.subject != "program" && plan.subject != "settings" && plan.subject != "fleet")
-        reader.fail("what", "expected program, settings or fleet");
+        reader.fail("what", "program, settings or fleet is wanted");
     plan.from = reader.required_text("from");
     plan.to = reader.required_text("to");
-    if (plan.from == plan.to) reader.fail("to", "must differ from the version in \"from\"");
+    if (plan.from == plan.to) reader.fail("to", "is what runs before as well");
     plan.members = read_members(reader, all);
     plan.waves = read_waves(reader, plan.members.size());
     const auto seconds_or = [&](const char* key, double fallback, double max) {
@@ -177,7 +175,7 @@
     plan.wave_timeout = seconds_or("patience_s", 900, 604'800);
     plan.gate = read_gate(reader);
     reader.reject_unknown_keys();
-    if (plan.members.empty()) reader.fail("members", "no members are known");
+    if (plan.members.empty()) reader.fail("members", "nobody is there");
     return plan;
 }
 
