--- a/include/routing/router.h
+++ b/include/routing/router.h
@@ -154,8 +154,8 @@
 // Load reported by a cache; negative values: not reported.
 struct LoadReport {
     double in_flight = -1;  // requests being served
-    double ingress_utilization =
-        -1;  // transfers on its zone's ingress link over the link's capacity at full rate
+    // Transfers on its zone's ingress link over the link's capacity at full rate.
+    double ingress_utilization = -1;
 };
 
 // ---- Events ----
@@ -174,9 +174,9 @@
     int tenant = -1;
     std::string object;    // empty: any cache can handle it as a lookup
     Micros time_left = 0;  // until the client gives up
-    Micros shutdown_in =
-        std::numeric_limits<Micros>::max();  // until this process exits, if it is shutting down
-    double size_kb = 0;                      // size of the response; 0: unknown
+    // Until this process exits, if it is shutting down.
+    Micros shutdown_in = std::numeric_limits<Micros>::max();
+    double size_kb = 0;  // size of the response; 0: unknown
     int purge_group = 0;
     int part = 0;  // part of the object
     bool client_retry = false;
@@ -265,7 +265,7 @@
     bool coalesce = false;               // the cache may attach the request to a fill in progress
     bool source_cached_only = false;     // the source responds only from its cache
     bool parent_bypasses_cache = false;  // the parent stores no copy
-    bool revalidate = false;             // the cache may serve an aging copy while revalidating it
+    bool revalidate = false;             // the cache revalidates an aging copy while serving it
     std::string source = {};             // source of a fill; the endpoint itself: no fill
     int cache_priority = 0;  // of the copy: 0 not stored, 1 requested once, 2 requested more often
 };
--- a/src/routing/cache_selection.cpp
+++ b/src/routing/cache_selection.cpp
@@ -8,10 +8,10 @@
 namespace sumackeel::routing {
 namespace {
 
-constexpr double kHotObjectLoad =
-    0.25;  // fraction of a cache's capacity above which an object gets two homes
-constexpr double kMoveTimeFactor =
-    0.7;  // a cache other than the home must be faster by this factor, since it costs a fill
+// Fraction of a cache's capacity above which an object gets two homes.
+constexpr double kHotObjectLoad = 0.25;
+// A cache other than the home must be faster by this factor, since it costs a fill.
+constexpr double kMoveTimeFactor = 0.7;
 
 }  // namespace
 
--- a/src/routing/fill_coalescing.cpp
+++ b/src/routing/fill_coalescing.cpp
@@ -8,12 +8,12 @@
 namespace sumackeel::routing {
 namespace {
 
-constexpr Micros kCopyRecordLifetime =
-    60 * kSecond;  // time without a request after which a record is removed
+// Time without a request after which a record is removed.
+constexpr Micros kCopyRecordLifetime = 60 * kSecond;
 constexpr Micros kRecentlyServed = 4 * kSecond;
 constexpr Micros kLikelyHeld = 8 * kSecond;  // a copy unused for longer may have been evicted
-constexpr double kRevalidateFrom =
-    0.8;  // fraction of the freshness lifetime after which caches revalidate in the background
+// Fraction of the freshness lifetime after which caches revalidate in the background.
+constexpr double kRevalidateFrom = 0.8;
 constexpr double kWaitFraction = 0.4;  // fraction of the latency objective that a request may wait for a fill
 
 }  // namespace
--- a/src/routing/latency_prediction.h
+++ b/src/routing/latency_prediction.h
@@ -8,8 +8,8 @@
 namespace sumackeel::routing {
 
 constexpr double kBaseLatency = 30.0 * kMillisecond;  // connection, network and small delays of any response
-constexpr double kFillDelay =
-    80.0 * kMillisecond;  // time to first byte from a parent that may have to fetch from the origin
+// Time to first byte from a parent that may have to fetch from the origin.
+constexpr double kFillDelay = 80.0 * kMillisecond;
 constexpr double kLatenessTimeConstant = 6.0 * kSecond;  // without decay a late target would never be retried
 constexpr double kObjectiveMargin = 1.15;  // later requests slow a transfer by about this factor
 
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr double kHitTimeFactor = 1.3;  // without a cache status, slower responses count as fills
-constexpr double kSlowFailureRatio =
-    1.5;  // ratio to the expected time above which a failure counts as an abandoned wait
+// Ratio to the expected time above which a failure counts as an abandoned wait.
+constexpr double kSlowFailureRatio = 1.5;
 constexpr double kUnreachableWeight = 1.6;  // of a source that a cache reports as unreachable
 constexpr double kFailureRatePrior = 0.05;
-constexpr Micros kQuickRejection =
-    8 * kMillisecond;  // a cache's own rejection takes only a trip within the zone
+// A cache's own rejection takes only a trip within the zone.
+constexpr Micros kQuickRejection = 8 * kMillisecond;
 
 bool is_fill(CacheStatus status) {
     return status == CacheStatus::filled || status == CacheStatus::filled_by_origin;
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr double kRetriesPerRequest = 0.25;
-constexpr Micros kMinTimeout =
-    250 * kMillisecond;  // for small objects, connection and source take longer than the transfer
-constexpr Micros kDeadlineMargin =
-    12 * kMillisecond;  // the last attempt ends this long before the client gives up
+// For small objects, connection and source take longer than the transfer.
+constexpr Micros kMinTimeout = 250 * kMillisecond;
+// The last attempt ends this long before the client gives up.
+constexpr Micros kDeadlineMargin = 12 * kMillisecond;
 constexpr Micros kMinUsefulTime = 20 * kMillisecond;  // a shorter attempt can't succeed
-constexpr Micros kFirstBackoff =
-    15 * kMillisecond;  // before the second retry; doubles with each retry, with jitter
+// Before the second retry; doubles with each retry, with jitter.
+constexpr Micros kFirstBackoff = 15 * kMillisecond;
 constexpr std::size_t kMaxBackoffDoublings = 4;
 
 }  // namespace
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr Micros kSweepInterval = 1 * kSecond;  // between removals of expired records
-constexpr Micros kMinWatchRetryDelay =
-    kSecond / 2;  // after a failed endpoint list, plus the same amount of jitter
+// After a failed endpoint list, plus the same amount of jitter.
+constexpr Micros kMinWatchRetryDelay = kSecond / 2;
 constexpr Micros kWaiterReleaseInterval = 8 * kMillisecond;  // between the waiters of a failed fill
 constexpr std::uint64_t kSweepToken = 0;
 constexpr std::uint64_t kWatchToken = 1;
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -9,10 +9,10 @@
 namespace sumackeel::routing {
 namespace {
 
-constexpr double kBudgetSafetyFactor =
-    0.8;  // fraction of the cold budget that is used, since weights are inaccurate
-constexpr double kTailDeviations =
-    3;  // standard deviations of the combined request rate that the budget covers
+// Fraction of the cold budget that is used, since weights are inaccurate.
+constexpr double kBudgetSafetyFactor = 0.8;
+// Standard deviations of the combined request rate that the budget covers.
+constexpr double kTailDeviations = 3;
 constexpr double kMinCapacity = 0.1;  // transfers at full rate
 
 // The mean amount of work whose random excess, in requests of `size`, stays within the budget.
--- a/src/routing/target.h
+++ b/src/routing/target.h
@@ -63,8 +63,8 @@
     DecayedMean cold_debt;            // work sent in slow start that is not yet paid off by the budget share
     Micros last_response_at = 0;      // including responses as a source
     int consecutive_unreachable = 0;  // since the last response
-    double typical_first_byte_time =
-        kUncongestedOriginWait;  // microseconds, for origin fills through this parent
+    // Microseconds, for origin fills through this parent.
+    double typical_first_byte_time = kUncongestedOriginWait;
     double first_byte_samples = 1;
     bool awaiting_first_response = false;  // known only from an old list
 };
--- a/tests/compatibility/routing_replay_test.cpp
+++ b/tests/compatibility/routing_replay_test.cpp
@@ -1,7 +1,7 @@
-// The routing module takes the same decisions for the same events: streams of events made from seeds, and a
-// digest of all actions that came of them (the text of log lines left out). A change that only renames or
-// reshapes leaves each digest as it is. With RECORD=1 in the environment the digests are printed and not
-// judged.
+// Checks that the routing module takes the same decisions for the same events. Event streams are generated
+// from seeds, and the resulting actions are hashed into a digest (except the text of log messages). Renaming
+// or refactoring must not change any digest. With RECORD=1 in the environment the digests are printed instead
+// of compared.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 using namespace sumackeel::routing;
 namespace emulator = sumackeel::emulator;
 
-// FNV-1a, 64 bits.
+// 64-bit FNV-1a.
 class Digest {
   public:
     void add(const std::string& text) {
@@ -33,7 +33,7 @@
     std::uint64_t value_ = 0xcbf29ce484222325ULL;
 };
 
-// One overload an action; each begins with a letter of its own.
+// One overload per action type, each starting with a distinct letter.
 struct AddAction {
     Digest& digest;
     void operator()(const Lookup& a) const {
@@ -64,17 +64,17 @@
     Digest digest;
     std::size_t events = 0, actions = 0;
 
-    void add(Micros now, const std::vector<Action>& taken) {
+    void add(Micros now, const std::vector<Action>& actions_taken) {
         ++events;
         digest.add(now);
-        for (const Action& action : taken) {
+        for (const Action& action : actions_taken) {
             ++actions;
             std::visit(AddAction{digest}, action);
         }
     }
 };
 
-void judge(const char* name, const Replay& replay, std::uint64_t expected, std::size_t events) {
+void expect_digest(const char* name, const Replay& replay, std::uint64_t expected, std::size_t events) {
     if (std::getenv("RECORD"))
         return static_cast<void>(std::printf("%s: 0x%016llx, %zu events, %zu actions\n", name,
                                              static_cast<unsigned long long>(replay.digest.value()),
@@ -83,7 +83,7 @@
     EXPECT_EQ(replay.digest.value(), expected) << name << ": " << replay.actions << " actions";
 }
 
-emulator::FleetOptions small(std::uint64_t seed, double requests_per_s) {
+emulator::FleetOptions small_fleet(std::uint64_t seed, double requests_per_s) {
     emulator::FleetOptions options;
     options.routers = 20, options.zones = 5, options.requests_per_s = requests_per_s, options.objects = 1'500,
     options.seed = seed;
@@ -91,26 +91,28 @@
 }
 
 void record(emulator::FleetEmulator& fleet, Replay& replay) {
-    fleet.on_actions = [&replay](std::size_t router, Micros now, const std::vector<Action>& taken) {
+    fleet.on_actions = [&replay](std::size_t router, Micros now, const std::vector<Action>& actions_taken) {
         replay.digest.add(static_cast<std::int64_t>(router));
-        replay.add(now, taken);
+        replay.add(now, actions_taken);
     };
 }
 
-// Settings that differ in all that the module branches on, by the number of the stream.
+// Settings for a stream number; together the streams vary all settings that the module branches on.
 Settings settings_of(int stream) {
     emulator::FleetOptions options;
     options.routers = 12, options.zones = 3;
     Settings s = emulator::fleet_settings(options);
-    constexpr Micros kMs = 1'000;
-    ClassSettings keyed = s.classes[0], effect = s.classes[0], aging = s.classes[0];
-    keyed.retry_safety = RetrySafety::with_idempotency_key, keyed.idempotency_window = 900 * kMs;
-    keyed.idempotency_scope = stream % 3 == 0   ? IdempotencyScope::all
-                              : stream % 3 == 1 ? IdempotencyScope::zone
-                                                : IdempotencyScope::cell;
-    effect.retry_safety = RetrySafety::not_idempotent, effect.uncacheable = true;
-    aging.freshness_lifetime = 700 * kMs, aging.stale_grace = 2'000 * kMs, aging.stale_value = 0.5;
-    s.classes.insert(s.classes.end(), {keyed, effect, aging});
+    constexpr Micros kMillisecond = 1'000;
+    ClassSettings with_key = s.classes[0], non_idempotent = s.classes[0], aging = s.classes[0];
+    with_key.retry_safety = RetrySafety::with_idempotency_key,
+    with_key.idempotency_window = 900 * kMillisecond;
+    with_key.idempotency_scope = stream % 3 == 0   ? IdempotencyScope::all
+                                 : stream % 3 == 1 ? IdempotencyScope::zone
+                                                   : IdempotencyScope::cell;
+    non_idempotent.retry_safety = RetrySafety::not_idempotent, non_idempotent.uncacheable = true;
+    aging.freshness_lifetime = 700 * kMillisecond, aging.stale_grace = 2'000 * kMillisecond,
+    aging.stale_value = 0.5;
+    s.classes.insert(s.classes.end(), {with_key, non_idempotent, aging});
     s.region_by_zone = {0, 1, 2};
     s.own_zone = stream % 2;
     s.coalescing_allowed = stream % 4 != 1;
@@ -119,130 +121,138 @@
     s.cache_status_detail = stream % 5 == 4 ? CacheStatusDetail::none : CacheStatusDetail::all;
     s.ingress_kb_per_s_by_zone = {30'000, 20'000, 40'000};
     s.endpoints_on_request = stream % 2 == 1;
-    s.retry_after_allowed = stream % 2 == 0, s.max_retry_after = 800 * kMs;
+    s.retry_after_allowed = stream % 2 == 0, s.max_retry_after = 800 * kMillisecond;
     s.origin_only_requests_per_s = stream % 3 == 0 ? 3 : 0;
     s.max_attempts = 2 + stream % 5;
     s.cancellation_allowed = stream % 3 != 0;
     return s;
 }
 
-// One router under events by chance: arrivals, ends of each kind, lists, purges, clients that leave.
+// Sends random events to one router: requests, results of every kind, endpoint lists, purges, cancellations.
 class RandomStream {
   public:
     explicit RandomStream(int stream)
         : settings_(settings_of(stream)),
-          chance_(static_cast<std::uint64_t>(stream) + 77),
-          router_(settings_, chance_()) {
-        list(EndpointUpdateKind::full);
+          random_(static_cast<std::uint64_t>(stream) + 77),
+          router_(settings_, random_()) {
+        update_endpoints(EndpointUpdateKind::full);
     }
 
     void run(int events) {
         for (int i = 0; i < events; ++i) {
-            now_ += static_cast<Micros>(below(9'000));
-            one_event();
+            now_ += static_cast<Micros>(random_below(9'000));
+            send_event();
         }
     }
     Replay replay;
 
   private:
-    struct Out {
+    struct InFlight {
         std::string id, cache;
         int attempt;
-        Micros sent;
+        Micros sent_at;
     };
 
-    std::uint64_t below(std::uint64_t most) { return chance_() % most; }
+    std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
 
     void handle(const Event& event) {
-        std::vector<Action> taken;
-        router_.handle(now_, event, taken);
-        replay.add(now_, taken);
-        for (const Action& action : taken) {
-            if (const auto* serve = std::get_if<Forward>(&action)) sent(serve->id, serve->endpoint);
-            if (const auto* look_up = std::get_if<Lookup>(&action)) sent(look_up->id, look_up->endpoint);
+        std::vector<Action> actions_taken;
+        router_.handle(now_, event, actions_taken);
+        replay.add(now_, actions_taken);
+        for (const Action& action : actions_taken) {
+            if (const auto* forward = std::get_if<Forward>(&action))
+                record_sent(forward->id, forward->endpoint);
+            if (const auto* lookup = std::get_if<Lookup>(&action)) record_sent(lookup->id, lookup->endpoint);
             if (const auto* timer = std::get_if<SetTimer>(&action))
                 timers_.emplace_back(timer->at, timer->token);
         }
     }
-    void sent(const std::string& id, const std::string& cache) {
-        out_.push_back({id, cache, attempts_[id]++, now_});
+    void record_sent(const std::string& id, const std::string& cache) {
+        in_flight_.push_back({id, cache, attempts_[id]++, now_});
     }
 
-    void one_event() {
+    void send_event() {
         for (std::size_t i = 0; i < timers_.size(); ++i)
             if (timers_[i].first <= now_) {
                 const std::uint64_t token = timers_[i].second;
                 timers_.erase(timers_.begin() + static_cast<std::ptrdiff_t>(i));
                 return handle(TimerExpired{token});
             }
-        const std::uint64_t what = below(1'000);
-        if (what < 430 || out_.empty()) return arrive();
-        if (what < 900) return end();
-        if (what < 920) return handle(ClientCancelled{out_[below(out_.size())].id});
-        if (what < 935) return purge();
-        if (what < 950)
-            return list(below(4) == 0 ? EndpointUpdateKind::full : EndpointUpdateKind::incremental);
-        if (what < 955) return list(EndpointUpdateKind::failed);
-        if (what < 965)
-            return handle(ResponseStarted{out_.front().id, out_.front().cache, out_.front().attempt, 1'000});
-        if (what < 980) return report();
-        if (what < 990) return handle(ProcessStalled{static_cast<Micros>(below(400'000))});
-        handle(ClusterSizeChanged{static_cast<int>(6 + below(12)), {4, 3, static_cast<int>(1 + below(5))}});
+        const std::uint64_t choice = random_below(1'000);
+        if (choice < 430 || in_flight_.empty()) return send_request();
+        if (choice < 900) return finish_attempt();
+        if (choice < 920) return handle(ClientCancelled{in_flight_[random_below(in_flight_.size())].id});
+        if (choice < 935) return purge();
+        if (choice < 950)
+            return update_endpoints(random_below(4) == 0 ? EndpointUpdateKind::full
+                                                         : EndpointUpdateKind::incremental);
+        if (choice < 955) return update_endpoints(EndpointUpdateKind::failed);
+        if (choice < 965)
+            return handle(ResponseStarted{in_flight_.front().id, in_flight_.front().cache,
+                                          in_flight_.front().attempt, 1'000});
+        if (choice < 980) return send_health_check();
+        if (choice < 990) return handle(ProcessStalled{static_cast<Micros>(random_below(400'000))});
+        handle(ClusterSizeChanged{static_cast<int>(6 + random_below(12)),
+                                  {4, 3, static_cast<int>(1 + random_below(5))}});
     }
 
-    void arrive() {
+    void send_request() {
         RequestReceived arrival;
-        arrival.id = "r" + std::to_string(next_++);
-        arrival.class_index = static_cast<int>(below(settings_.classes.size()));
-        if (below(20) != 0) arrival.object = "o" + std::to_string(below(below(2) == 0 ? 6 : 60));
-        arrival.time_left = static_cast<Micros>(200'000 + below(2'800'000));
-        if (below(10) == 0) arrival.shutdown_in = static_cast<Micros>(below(900'000));
-        arrival.size_kb = below(5) == 0 ? 0 : static_cast<double>(20 + below(900));
-        arrival.purge_group = static_cast<int>(below(5));
-        arrival.part = static_cast<int>(below(3));
+        arrival.id = "r" + std::to_string(next_id_++);
+        arrival.class_index = static_cast<int>(random_below(settings_.classes.size()));
+        if (random_below(20) != 0)
+            arrival.object = "o" + std::to_string(random_below(random_below(2) == 0 ? 6 : 60));
+        arrival.time_left = static_cast<Micros>(200'000 + random_below(2'800'000));
+        if (random_below(10) == 0) arrival.shutdown_in = static_cast<Micros>(random_below(900'000));
+        arrival.size_kb = random_below(5) == 0 ? 0 : static_cast<double>(20 + random_below(900));
+        arrival.purge_group = static_cast<int>(random_below(5));
+        arrival.part = static_cast<int>(random_below(3));
         arrival.write = arrival.class_index == 2;
         handle(arrival);
     }
 
-    void end() {
-        const std::size_t place = below(out_.size());
-        const Out out = out_[place];
-        out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(place));
-        AttemptFinished outcome;
-        outcome.id = out.id, outcome.endpoint = out.cache, outcome.attempt = out.attempt;
-        outcome.elapsed = now_ - out.sent;
-        outcome.status = below(4) != 0 ? AttemptStatus::served : static_cast<AttemptStatus>(below(9));
-        outcome.request_finished = outcome.status == AttemptStatus::served;
-        outcome.cache_status = static_cast<CacheStatus>(below(11));
-        outcome.time_to_first_byte = static_cast<Micros>(below(300'000));
-        if (below(3) == 0)
-            outcome.load = {static_cast<double>(below(12)), static_cast<double>(below(30)) / 10};
-        handle(outcome);
+    void finish_attempt() {
+        const std::size_t index = random_below(in_flight_.size());
+        const InFlight in_flight = in_flight_[index];
+        in_flight_.erase(in_flight_.begin() + static_cast<std::ptrdiff_t>(index));
+        AttemptFinished result;
+        result.id = in_flight.id, result.endpoint = in_flight.cache, result.attempt = in_flight.attempt;
+        result.elapsed = now_ - in_flight.sent_at;
+        result.status =
+            random_below(4) != 0 ? AttemptStatus::served : static_cast<AttemptStatus>(random_below(9));
+        result.request_finished = result.status == AttemptStatus::served;
+        result.cache_status = static_cast<CacheStatus>(random_below(11));
+        result.time_to_first_byte = static_cast<Micros>(random_below(300'000));
+        if (random_below(3) == 0)
+            result.load = {static_cast<double>(random_below(12)), static_cast<double>(random_below(30)) / 10};
+        handle(result);
     }
 
     void purge() {
-        handle(Purge{static_cast<int>(below(5)), static_cast<Micros>(below(500'000)),
-                     below(2) == 0 ? "o" + std::to_string(below(60)) : std::string{}});
+        handle(Purge{static_cast<int>(random_below(5)), static_cast<Micros>(random_below(500'000)),
+                     random_below(2) == 0 ? "o" + std::to_string(random_below(60)) : std::string{}});
     }
 
-    void report() {
-        handle(HealthCheckResult{"c" + std::to_string(below(3)) + "-" + std::to_string(below(4)),
-                                 AttemptStatus::served,
-                                 900,
-                                 {static_cast<double>(below(9)), static_cast<double>(below(20)) / 10}});
+    void send_health_check() {
+        handle(HealthCheckResult{
+            "c" + std::to_string(random_below(3)) + "-" + std::to_string(random_below(4)),
+            AttemptStatus::served,
+            900,
+            {static_cast<double>(random_below(9)), static_cast<double>(random_below(20)) / 10}});
     }
 
-    void list(EndpointUpdateKind kind) {
-        EndpointUpdate news{static_cast<std::int64_t>(++version_), kind, {}};
-        const auto add = [&](const std::string& name, int zone, int place, double weight) {
-            if (kind == EndpointUpdateKind::incremental && below(6) != 0) return;
-            Endpoint entry{.name = name, .weight = weight, .zone = zone, .kind = place, .cell = zone * 2};
-            if (version_ > 1 && below(5) == 0)
-                entry.state = below(2) == 0 ? EndpointState::draining : EndpointState::removed;
-            if (version_ > 1 && below(4) == 0)
-                entry.started_at = now_ - static_cast<Micros>(below(9'000'000));
-            entry.unverified = version_ > 1 && below(12) == 0;
-            news.endpoints.push_back(entry);
+    void update_endpoints(EndpointUpdateKind kind) {
+        EndpointUpdate update{static_cast<std::int64_t>(++version_), kind, {}};
+        const auto add = [&](const std::string& name, int zone, int endpoint_kind, double weight) {
+            if (kind == EndpointUpdateKind::incremental && random_below(6) != 0) return;
+            Endpoint entry{
+                .name = name, .weight = weight, .zone = zone, .kind = endpoint_kind, .cell = zone * 2};
+            if (version_ > 1 && random_below(5) == 0)
+                entry.state = random_below(2) == 0 ? EndpointState::draining : EndpointState::removed;
+            if (version_ > 1 && random_below(4) == 0)
+                entry.started_at = now_ - static_cast<Micros>(random_below(9'000'000));
+            entry.unverified = version_ > 1 && random_below(12) == 0;
+            update.endpoints.push_back(entry);
         };
         if (kind != EndpointUpdateKind::failed) {
             for (int zone = 0; zone < 3; ++zone)
@@ -251,32 +261,32 @@
             for (int i = 0; i < 3; ++i) add("p" + std::to_string(i), i, settings_.parent_kind, 20);
             add("origin", 0, settings_.origin_kind, 1);
         }
-        handle(news);
+        handle(update);
     }
 
     Settings settings_;
-    std::mt19937_64 chance_;
+    std::mt19937_64 random_;
     Router router_;
     Micros now_ = 5'000'000'000;
-    std::vector<Out> out_;
+    std::vector<InFlight> in_flight_;
     std::map<std::string, int> attempts_;
     std::vector<std::pair<Micros, std::uint64_t>> timers_;
-    std::uint64_t next_ = 0;
+    std::uint64_t next_id_ = 0;
     int version_ = 0;
 };
 
 }  // namespace
 
 TEST(RoutingReplay, QuietFleet) {
-    emulator::FleetEmulator fleet(small(1, 300));
+    emulator::FleetEmulator fleet(small_fleet(1, 300));
     Replay replay;
     record(fleet, replay);
     fleet.run_for(12 * emulator::kSecond);
-    judge("quiet", replay, 0x737a615198b33391, 7268);
+    expect_digest("quiet", replay, 0x737a615198b33391, 7268);
 }
 
 TEST(RoutingReplay, FleetWithPurgeRestartsLossesAndReturn) {
-    emulator::FleetEmulator fleet(small(2, 500));
+    emulator::FleetEmulator fleet(small_fleet(2, 500));
     Replay replay;
     record(fleet, replay);
     fleet.run_for(4 * emulator::kSecond);
@@ -288,11 +298,11 @@
     fleet.run_for(4 * emulator::kSecond);
     fleet.reconnect({"c2-0", "c2-1", "c2-2", "c2-3", "p1"});
     fleet.run_for(4 * emulator::kSecond);
-    judge("faulty", replay, 0xebe699c55cc67c9d, 17164);
+    expect_digest("faulty", replay, 0xebe699c55cc67c9d, 17164);
 }
 
 TEST(RoutingReplay, OverloadedOriginAndFleetAfterPowerLoss) {
-    emulator::FleetOptions options = small(3, 1'500);
+    emulator::FleetOptions options = small_fleet(3, 1'500);
     options.origin_fills_per_s = 120, options.origin_max_wait = 2 * emulator::kSecond;
     emulator::FleetEmulator fleet(options);
     Replay replay;
@@ -306,7 +316,7 @@
     fleet.power_on();
     for (std::size_t i = 0; i < 20; ++i) fleet.start_router(i);
     fleet.run_for(4 * emulator::kSecond);
-    judge("overloaded", replay, 0x2003fbd2b5722e79, 24473);
+    expect_digest("overloaded", replay, 0x2003fbd2b5722e79, 24473);
 }
 
 TEST(RoutingReplay, EventsByChanceUnderUnlikeSettings) {
@@ -318,6 +328,7 @@
     for (int stream = 0; stream < 12; ++stream) {
         RandomStream events(stream);
         events.run(kEvents);
-        judge(("stream " + std::to_string(stream)).c_str(), events.replay, kExpected[stream], kEvents + 1);
+        expect_digest(("stream " + std::to_string(stream)).c_str(), events.replay, kExpected[stream],
+                      kEvents + 1);
     }
 }
--- a/tests/routing/cache_selection_test.cpp
+++ b/tests/routing/cache_selection_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the cache selection, seen through the router: events in, actions out.
+// Tests of cache selection through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -42,13 +42,13 @@
         const Forward forward = router.forwarded();
         router.now += 10 * kMillisecond;
         router.finish(id, forward.endpoint, AttemptStatus::connect_failed);
-        for (const Forward& again : router.all<Forward>()) {
-            router.handle(ClientCancelled{again.id});
-            router.finish(again.id, again.endpoint, AttemptStatus::cancelled, 1);
+        for (const Forward& retry : router.actions_of<Forward>()) {
+            router.handle(ClientCancelled{retry.id});
+            router.finish(retry.id, retry.endpoint, AttemptStatus::cancelled, 1);
         }
     }
     router.request("last", "last");
-    EXPECT_EQ(router.all<Forward>().size(), 1u);
+    EXPECT_EQ(router.actions_of<Forward>().size(), 1u);
 }
 
 TEST(CacheSelection, StaleCopyIsAcceptedAfterFailedAttempt) {
@@ -69,7 +69,7 @@
     EXPECT_EQ(router.forwarded().endpoint, home);
     EXPECT_EQ(router.forwarded().max_age, 12 * kSecond);
     EXPECT_TRUE(router.forwarded().revalidate);
-    router.now += 100 * kMillisecond;  // never past a purge, old copy or not
+    router.now += 100 * kMillisecond;  // a stale copy from before a purge is not accepted either
     router.handle(Purge{3, 0, "x"});
     router.now += 5 * kMillisecond;
     router.request("r3", "x");
--- a/tests/routing/circuit_breaker_test.cpp
+++ b/tests/routing/circuit_breaker_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the circuit breaker, seen through the router: events in, actions out.
+// Tests of the circuit breaker through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,8 +12,8 @@
 
 TEST_F(CircuitBreakerTest, OpensAfterFailuresAndSendsOneTrial) {
     std::string failing;
-    int logs = 0;
-    for (int i = 0; i < 40 && logs == 0; ++i) {
+    int opened = 0;
+    for (int i = 0; i < 40 && opened == 0; ++i) {
         const std::string id = "r" + std::to_string(i);
         router.request(id, "o" + std::to_string(i));
         const Forward forward = router.forwarded();
@@ -24,14 +24,14 @@
             continue;
         }
         router.finish(id, forward.endpoint, AttemptStatus::error);
-        logs += static_cast<int>(router.all<LogMessage>().size());
-        for (const Forward& again : router.all<Forward>()) {
+        opened += static_cast<int>(router.actions_of<LogMessage>().size());
+        for (const Forward& retry : router.actions_of<Forward>()) {
             router.now += 20 * kMillisecond;
-            router.finish(id, again.endpoint, AttemptStatus::served, 1, CacheStatus::filled);
+            router.finish(id, retry.endpoint, AttemptStatus::served, 1, CacheStatus::filled);
         }
     }
-    ASSERT_EQ(logs, 1);
-    for (int i = 0; i < 30; ++i) {  // open: nothing goes there
+    ASSERT_EQ(opened, 1);
+    for (int i = 0; i < 30; ++i) {  // open: no attempts are sent to it
         const std::string id = "s" + std::to_string(i);
         router.request(id, "q" + std::to_string(i));
         EXPECT_NE(router.forwarded().endpoint, failing);
@@ -39,7 +39,7 @@
     }
     router.now += 2 * kSecond;
     int trials = 0;
-    for (int i = 0; i < 30; ++i) {  // half open: one trial until it has ended
+    for (int i = 0; i < 30; ++i) {  // half open: a single trial until it ends
         router.request("t" + std::to_string(i), "u" + std::to_string(i), 1);
         if (router.forwarded().endpoint == failing) ++trials;
     }
@@ -58,8 +58,8 @@
             sent += forward.endpoint == failing ? 1 : 0;
             router.finish(id, forward.endpoint, forward.endpoint == failing ? status : AttemptStatus::served,
                           0, CacheStatus::unknown);
-            for (const Forward& again : router.all<Forward>())
-                router.finish(id, again.endpoint, AttemptStatus::served, 1, CacheStatus::hit);
+            for (const Forward& retry : router.actions_of<Forward>())
+                router.finish(id, retry.endpoint, AttemptStatus::served, 1, CacheStatus::hit);
         }
         return sent;
     };
@@ -67,7 +67,7 @@
     EXPECT_EQ(attempts_at_failing("s", AttemptStatus::connect_failed, "a", 30), 0);  // open
     router.now += 3 * kSecond;
     EXPECT_GE(attempts_at_failing("t", AttemptStatus::cancelled, "a", 40),
-              2);  // trial after trial, none conclusive
+              2);  // repeated trials, all inconclusive
 }
 
 }  // namespace
--- a/tests/routing/eligibility_test.cpp
+++ b/tests/routing/eligibility_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the eligibility, seen through the router: events in, actions out.
+// Tests of the eligibility rules through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -16,9 +16,9 @@
     router.update_endpoints({cache("a"), cache("b"), parent("p")});
     router.request("r1", "x");
     router.finish("r1", router.forwarded().endpoint, AttemptStatus::error);
-    EXPECT_TRUE(router.all<Forward>().empty());
-    EXPECT_TRUE(router.all<Reject>().empty());
-    EXPECT_EQ(router.all<Fail>().size(), 1u);
+    EXPECT_TRUE(router.actions_of<Forward>().empty());
+    EXPECT_TRUE(router.actions_of<Reject>().empty());
+    EXPECT_EQ(router.actions_of<Fail>().size(), 1u);
 }
 
 TEST(Eligibility, UnsafeRequestThatDidNotRunIsRetried) {
@@ -52,8 +52,8 @@
             const std::string second = router.forwarded().endpoint;
             EXPECT_EQ(low, second == "a" || second == "b");
         } else {
-            EXPECT_TRUE(router.all<Forward>().empty());
-            EXPECT_EQ(router.all<Fail>().size(), 1u);
+            EXPECT_TRUE(router.actions_of<Forward>().empty());
+            EXPECT_EQ(router.actions_of<Fail>().size(), 1u);
         }
     }
 }
--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the endpoint table, seen through the router: events in, actions out.
+// Tests of the endpoint table through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -32,34 +32,36 @@
     router.update_endpoints({draining}, EndpointUpdateKind::incremental);
     router.request("r2", "y");
     EXPECT_NE(router.forwarded().source, source);
-    router.update_endpoints({origin(), cache("a")});  // both parents left the full list
+    router.update_endpoints({origin(), cache("a")});  // the full list no longer contains the parents
     router.request("r3", "z");
     EXPECT_EQ(router.forwarded().source, "origin");
 }
 
-// A parent that crashed returns cold before the list names its new start; the routers must not all use it at
-// once.
+// A crashed parent returns cold before the list reports its new start time. The routers must not all send it
+// their full load at once.
 TEST(EndpointTable, UnreachableParentThatReturnsIsCold) {
     Settings settings = plain_settings();
     settings.cache_status_detail = CacheStatusDetail::all;
     settings.instance_count = 100;
     RouterHarness router(settings);
     router.update_endpoints({cache("a"), cache("b"), parent("p"), origin()});
-    const auto ask = [&](int i, AttemptStatus status, CacheStatus cache_status) {
+    const auto send_request = [&](int i, AttemptStatus status, CacheStatus cache_status) {
         const std::string id = "r" + std::to_string(i);
         router.request(id, "o" + std::to_string(i));
-        const std::string source = router.all<Forward>().empty() ? "" : router.forwarded().source;
+        const std::string source = router.actions_of<Forward>().empty() ? "" : router.forwarded().source;
         router.now += 100 * kMillisecond;
         if (!source.empty()) router.finish(id, router.forwarded().endpoint, status, 0, cache_status);
         router.handle(ClientCancelled{id});
         return source;
     };
-    for (int i = 0; i < 3; ++i) EXPECT_EQ(ask(i, AttemptStatus::error, CacheStatus::source_unreachable), "p");
+    for (int i = 0; i < 3; ++i)
+        EXPECT_EQ(send_request(i, AttemptStatus::error, CacheStatus::source_unreachable), "p");
     int to_parent = 0;
     router.now += 10 * kSecond;
-    for (int i = 10; i < 40; ++i) to_parent += ask(i, AttemptStatus::served, CacheStatus::filled) == "p";
+    for (int i = 10; i < 40; ++i)
+        to_parent += send_request(i, AttemptStatus::served, CacheStatus::filled) == "p";
     EXPECT_GE(to_parent, 1);
-    EXPECT_LE(to_parent, 5);  // a hundredth of the cold budget is less than a request a second
+    EXPECT_LE(to_parent, 5);  // 1/100 of the cold budget allows less than one request per second
 }
 
 }  // namespace
--- a/tests/routing/example.cpp
+++ b/tests/routing/example.cpp
@@ -1,4 +1,4 @@
-// The README's example: one cache, one parent, one request.
+// Example from the README: one cache, one parent, one request.
 #include <iostream>
 #include <variant>
 #include <vector>
@@ -17,10 +17,10 @@
 
     Router router(settings, 42);
     std::vector<Action> actions;
-    EndpointUpdate news;
-    news.endpoints.push_back({.name = "10.0.0.1:80", .weight = 4, .zone = 0, .kind = 0});
-    news.endpoints.push_back({.name = "10.0.9.1:80", .weight = 20, .zone = 1, .kind = 1});
-    router.handle(1'000'000, news, actions);
+    EndpointUpdate update;
+    update.endpoints.push_back({.name = "10.0.0.1:80", .weight = 4, .zone = 0, .kind = 0});
+    update.endpoints.push_back({.name = "10.0.9.1:80", .weight = 20, .zone = 1, .kind = 1});
+    router.handle(1'000'000, update, actions);
 
     actions.clear();
     RequestReceived request;
@@ -30,9 +30,10 @@
     request.size_kb = 300;
     router.handle(1'002'000, request, actions);
     for (const Action& action : actions)
-        if (const auto* serve = std::get_if<Forward>(&action)) {
-            std::cout << serve->id << " -> " << serve->endpoint << ", filled from " << serve->source << '\n';
-            return serve->endpoint == "10.0.0.1:80" && serve->source == "10.0.9.1:80" ? 0 : 1;
+        if (const auto* forward = std::get_if<Forward>(&action)) {
+            std::cout << forward->id << " -> " << forward->endpoint << ", filled from " << forward->source
+                      << '\n';
+            return forward->endpoint == "10.0.0.1:80" && forward->source == "10.0.9.1:80" ? 0 : 1;
         }
     return 1;
 }
--- a/tests/routing/fill_coalescing_test.cpp
+++ b/tests/routing/fill_coalescing_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the fill coalescing, seen through the router: events in, actions out.
+// Tests of fill coalescing through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -32,8 +32,8 @@
     RouterHarness router = router_without_coalescing();
     router.request("r1", "x");
     router.request("r2", "x");
-    EXPECT_TRUE(router.all<Forward>().empty());
-    const auto timers = router.all<SetTimer>();
+    EXPECT_TRUE(router.actions_of<Forward>().empty());
+    const auto timers = router.actions_of<SetTimer>();
     ASSERT_EQ(timers.size(), 1u);
     EXPECT_LT(timers[0].at, router.now + plain_settings().classes[0].latency_objective + 400 * kMillisecond);
     router.now = timers[0].at;
@@ -78,7 +78,7 @@
     router.request("r3", "x");
     router.now += 50 * kMillisecond;
     router.finish("r1", home, AttemptStatus::error);
-    const auto timers = router.all<SetTimer>();
+    const auto timers = router.actions_of<SetTimer>();
     ASSERT_EQ(timers.size(), 2u);
     EXPECT_LT(timers[0].at, timers[1].at);
 }
@@ -86,7 +86,7 @@
 TEST_F(FillCoalescingTest, OverdueFillIsNotShared) {
     router.request("r1", "x");
     const std::string home = router.forwarded().endpoint;
-    router.now += 3'900 * kMillisecond;  // far past any expected time: the fill hangs
+    router.now += 3'900 * kMillisecond;  // far beyond the expected time: the fill hangs
     router.request("r2", "x");
     EXPECT_NE(router.forwarded().endpoint, home);
 }
@@ -99,7 +99,8 @@
     EXPECT_FALSE(router.forwarded().coalesce);
 }
 
-// After a purge of everything, many routers new to a part must not each have it filled.
+// After a full purge, each of many routers may request a part for the first time. They must not all start a
+// fill.
 TEST(FillCoalescing, RoutersNewToPurgedPartShareOneFill) {
     int joined = 0;
     for (int i = 0; i < 100; ++i) {
--- a/tests/routing/fill_source_test.cpp
+++ b/tests/routing/fill_source_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the fill source, seen through the router: events in, actions out.
+// Tests of the fill source through the router's interface.
 #include <gtest/gtest.h>
 
 #include "router_harness.h"
@@ -15,7 +15,7 @@
     EXPECT_GT(forward.cache_priority, 0);
 }
 
-// What runs at the origin may not be retried, so a parent that fails it on the way fails it for good.
+// A failure at a parent could not be retried, so these requests go directly to the origin.
 TEST(FillSource, NonIdempotentRequestsBypassParents) {
     Settings settings = plain_settings();
     settings.classes[0].uncacheable = true;
@@ -24,7 +24,7 @@
     router.update_endpoints({cache("a"), cache("b"), parent("p"), parent("q"), origin()});
     router.request("r1", "x");
     EXPECT_EQ(router.forwarded().source, "origin");
-    // Not once the origin is gone from the list: a parent may still reach it.
+    // If the origin is not listed, a parent may still be able to reach it.
     router.update_endpoints({cache("a"), cache("b"), parent("p")});
     router.request("r2", "x");
     EXPECT_EQ(router.forwarded().source, "p");
--- a/tests/routing/install_test.sh
+++ b/tests/routing/install_test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# cmake --install gives a package that find_package(sumackeel_routing) finds.
+# Checks that find_package(sumackeel_routing) finds the package installed by cmake --install.
 set -eu
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
--- a/tests/routing/latency_prediction_test.cpp
+++ b/tests/routing/latency_prediction_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the latency prediction, seen through the router: events in, actions out.
+// Tests of latency prediction through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,30 +10,30 @@
 
 using LatencyPredictionTest = RouterFixture;
 
-// One lost response must not send the large objects of a healthy cache to others, which would fill them
-// again.
+// A single lost response must not divert large objects from a healthy cache to others, which would have to
+// fill them again.
 TEST_F(LatencyPredictionTest, LostResponseDoesNotSlowResponsiveEndpoint) {
     for (const bool answers_others : {true, false}) {
-        RouterHarness one;
-        one.update_endpoints({cache("a"), cache("b"), cache("c"), parent("p"), origin()});
-        one.request("first", "x", 40);
-        const std::string home = one.forwarded().endpoint;
-        one.now += 70 * kMillisecond;
-        one.finish("first", home, AttemptStatus::served);
-        one.request("lost", "x", 40);
-        EXPECT_EQ(one.forwarded().endpoint, home);
-        one.now += 100 * kMillisecond;
-        one.request("other", "x", 40);
-        EXPECT_EQ(one.forwarded().endpoint, home);
-        one.now += 70 * kMillisecond;
-        if (answers_others) one.finish("other", home, AttemptStatus::served);
-        one.now += 200 * kMillisecond;
-        one.request("large", "x", 600);
-        EXPECT_EQ(one.forwarded().endpoint == home, answers_others);
+        RouterHarness harness;
+        harness.update_endpoints({cache("a"), cache("b"), cache("c"), parent("p"), origin()});
+        harness.request("first", "x", 40);
+        const std::string home = harness.forwarded().endpoint;
+        harness.now += 70 * kMillisecond;
+        harness.finish("first", home, AttemptStatus::served);
+        harness.request("lost", "x", 40);
+        EXPECT_EQ(harness.forwarded().endpoint, home);
+        harness.now += 100 * kMillisecond;
+        harness.request("other", "x", 40);
+        EXPECT_EQ(harness.forwarded().endpoint, home);
+        harness.now += 70 * kMillisecond;
+        if (answers_others) harness.finish("other", home, AttemptStatus::served);
+        harness.now += 200 * kMillisecond;
+        harness.request("large", "x", 600);
+        EXPECT_EQ(harness.forwarded().endpoint == home, answers_others);
     }
 }
 
-// The timeout of a response that was lost alone says nothing of how fast its endpoint is.
+// The timeout of a single lost response says nothing about the latency of its endpoint.
 TEST_F(LatencyPredictionTest, TimeoutOfLostResponseIsNotLateness) {
     router.update_endpoints({cache("a"), cache("b"), cache("c"), parent("p"), origin()});
     router.request("first", "x", 40);
@@ -44,10 +44,10 @@
     for (int i = 0; lost < 2 && i < 100; ++i) {  // small objects cached at the same endpoint
         const std::string id = "r" + std::to_string(i), other = "other" + std::to_string(i);
         router.request(id + "first", "y" + std::to_string(i), 40);
-        const std::string at = router.forwarded().endpoint;
+        const std::string endpoint = router.forwarded().endpoint;
         router.now += 70 * kMillisecond;
-        router.finish(id + "first", at, AttemptStatus::served);
-        if (at != home) continue;
+        router.finish(id + "first", endpoint, AttemptStatus::served);
+        if (endpoint != home) continue;
         ++lost;
         router.request(id, "y" + std::to_string(i), 40);
         router.now += 400 * kMillisecond;
--- a/tests/routing/load_estimate_test.cpp
+++ b/tests/routing/load_estimate_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the load estimate, seen through the router: events in, actions out.
+// Tests of the load estimate through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -14,14 +14,14 @@
     settings.instances_by_zone = {40, 0, 0};
     RouterHarness router(settings);
     router.update_endpoints({cache("a"), cache("b"), parent("p"), origin()});
-    // A tenth of a transfer as capacity share is no overload by itself: there is no report of others.
+    // A capacity share of 1/10 transfer is not overload by itself without a report of other routers' load.
     router.request("r1", "x");
-    EXPECT_EQ(router.all<Forward>().size(), 1u);
+    EXPECT_EQ(router.actions_of<Forward>().size(), 1u);
     const std::string home = router.forwarded().endpoint;
     router.now += 300 * kMillisecond;
     router.finish("r1", home, AttemptStatus::served);
     router.now += 300 * kMillisecond;
-    router.request("r2", "x");  // nor does one repeat spread the object to a second home
+    router.request("r2", "x");  // a single repeat does not give the object a second home
     EXPECT_EQ(router.forwarded().endpoint, home);
 }
 
@@ -30,7 +30,7 @@
     settings.instance_count = 40;
     settings.instances_by_zone = {40, 0, 0};
     settings.load_reporting = LoadReporting::with_responses;
-    for (const Micros later : {50 * kMillisecond, 20 * kSecond}) {
+    for (const Micros elapsed : {50 * kMillisecond, 20 * kSecond}) {
         RouterHarness router(settings);
         router.update_endpoints({cache("a"), parent("p"), origin()});
         router.request("r1", "x");
@@ -41,15 +41,15 @@
         result.request_finished = true;
         result.load.in_flight = 40;
         router.handle(result);
-        router.now += later;
+        router.now += elapsed;
         router.request("r2", "y");
-        EXPECT_EQ(router.all<Reject>().size(), later < kSecond ? 1u : 0u);
+        EXPECT_EQ(router.actions_of<Reject>().size(), elapsed < kSecond ? 1u : 0u);
     }
 }
 
 TEST(LoadEstimate, LikelyHitsAreNotRejectedForIngressOverload) {
-    // The zone's caches hold most of what this router never requested. The ingress link fits two and a half
-    // fills; when all recent responses were as fast as a hit, new objects don't overload it.
+    // The zone's caches hold most objects that this router has never requested. The ingress link has capacity
+    // for 2.5 fills. If all recent responses were as fast as hits, new objects do not count as overload.
     for (const bool cached : {true, false}) {
         Settings settings = plain_settings();
         settings.cache_status_detail = CacheStatusDetail::none;
@@ -62,8 +62,8 @@
         for (int i = 0; i < 120; ++i) {
             const std::string id = "r" + std::to_string(i);
             router.request(id, "o" + std::to_string(i));
-            rejected += static_cast<int>(i >= 60 && !router.all<Reject>().empty());
-            const auto forwards = router.all<Forward>();
+            rejected += static_cast<int>(i >= 60 && !router.actions_of<Reject>().empty());
+            const auto forwards = router.actions_of<Forward>();
             router.now += cached ? 200 * kMillisecond : 1'100 * kMillisecond;
             for (const Forward& forward : forwards)
                 router.finish(id, forward.endpoint, AttemptStatus::served);
@@ -83,7 +83,7 @@
     router.finish("first", home, AttemptStatus::served, 0, CacheStatus::filled);
     for (int i = 0; i < 60; ++i) router.request("f" + std::to_string(i), "o" + std::to_string(i), 100);
     router.request("hit", "x", 100);
-    EXPECT_EQ(router.forwarded().endpoint, home);  // not rejected, not moved
+    EXPECT_EQ(router.forwarded().endpoint, home);  // neither rejected nor moved
 }
 
 }  // namespace
--- a/tests/routing/origin_throttle_test.cpp
+++ b/tests/routing/origin_throttle_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the origin throttle, seen through the router: events in, actions out.
+// Tests of the origin throttle through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace sumackeel::routing {
 namespace {
 
-// With no parent up, fills go to the origin while it has capacity, rather than to parents that fail.
+// With no parent reachable, fills go to the origin while it has capacity instead of to failing parents.
 TEST(OriginThrottle, WithoutParentsOriginIsUsedInTurn) {
     Settings settings = plain_settings();
     settings.cache_status_detail = CacheStatusDetail::all;
@@ -18,17 +18,17 @@
     for (int i = 0; i < 12; ++i) {
         const std::string id = "r" + std::to_string(i);
         router.request(id, "o" + std::to_string(i));
-        const auto sends = router.all<Forward>();
-        if (!sends.empty() && sends.front().source == "origin") {
+        const auto forwards = router.actions_of<Forward>();
+        if (!forwards.empty() && forwards.front().source == "origin") {
             router.request("next", "other");  // one turn at a time
-            EXPECT_TRUE(router.all<Forward>().empty() || router.forwarded().source != "origin");
+            EXPECT_TRUE(router.actions_of<Forward>().empty() || router.forwarded().source != "origin");
             return;
         }
         router.now += 50 * kMillisecond;
-        if (!sends.empty())
-            router.finish(id, sends.front().endpoint, AttemptStatus::error, 0,
+        if (!forwards.empty())
+            router.finish(id, forwards.front().endpoint, AttemptStatus::error, 0,
                           CacheStatus::source_unreachable);
-        router.now += 500 * kMillisecond;  // past the turn that a second try took
+        router.now += 500 * kMillisecond;  // after the turn taken by the second attempt
         router.handle(ClientCancelled{id});
     }
     ADD_FAILURE() << "the origin was never named";
--- a/tests/routing/outlier_detection_test.cpp
+++ b/tests/routing/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the outlier detection, seen through the router: events in, actions out.
+// Tests of outlier detection through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,8 +10,8 @@
 
 using OutlierDetectionTest = RouterFixture;
 
-// A cache's report of an unreachable source counts for more than a failure, or each of many routers would
-// send it three fills.
+// A cache's report of an unreachable source has more weight than a plain failure. Otherwise each of many
+// routers would send the source three fills before ejecting it.
 TEST(OutlierDetection, UnreachableSourceIsEjectedAfterTwoReports) {
     Settings settings = plain_settings();
     settings.cache_status_detail = CacheStatusDetail::all;
@@ -23,7 +23,7 @@
         router.request(id, "o" + std::to_string(i));
         router.finish(id, router.forwarded().endpoint, AttemptStatus::error, 0,
                       CacheStatus::source_unreachable);
-        for (const LogMessage& log : router.all<LogMessage>()) opened += log.text == "breaker open: p";
+        for (const LogMessage& log : router.actions_of<LogMessage>()) opened += log.text == "breaker open: p";
         router.handle(ClientCancelled{id});
         EXPECT_EQ(opened, i);
     }
@@ -42,7 +42,7 @@
         result.elapsed = 60 * kMillisecond;
         router.now += result.elapsed;
         router.handle(result);
-        for (const LogMessage& log : router.all<LogMessage>())
+        for (const LogMessage& log : router.actions_of<LogMessage>())
             (log.text == "breaker open: p" || log.text == "breaker open: q" ||
                      log.text == "breaker open: origin"
                  ? parent_logs
--- a/tests/routing/purge_log_test.cpp
+++ b/tests/routing/purge_log_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the purge log, seen through the router: events in, actions out.
+// Tests of the purge log through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -17,10 +17,10 @@
     const std::string first = router.forwarded().endpoint;
     router.now += 50 * kMillisecond;
     router.finish("r1", first, AttemptStatus::error);
-    EXPECT_EQ(router.forwarded().max_age, 150 * kMillisecond);  // the retry too
+    EXPECT_EQ(router.forwarded().max_age, 150 * kMillisecond);  // applies to the retry as well
     router.handle(Purge{9, 0, ""});
     router.request("r2", "z");
-    EXPECT_EQ(router.forwarded().max_age, 0);  // another group's purge
+    EXPECT_EQ(router.forwarded().max_age, 0);  // purge of a different group
     router.handle(Purge{3, 0, ""});
     router.request("r3", "z");
     EXPECT_EQ(router.forwarded().max_age, 1);
--- a/tests/routing/retry_budget_test.cpp
+++ b/tests/routing/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the retry budget, seen through the router: events in, actions out.
+// Tests of the retry budget through the router's interface.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,8 +10,8 @@
 
 using RetryBudgetTest = RouterFixture;
 
-// A request that no cache can use fails wherever it is sent. Retried on and on, it would use up the retry
-// budget and open the breaker of one healthy cache after another.
+// An invalid request fails at every cache. Unlimited retries would use up the retry budget and open the
+// breaker of one healthy cache after another.
 TEST_F(RetryBudgetTest, SecondCacheErrorEndsRequest) {
     router.request("r1", "x");
     const std::string first = router.forwarded().endpoint;
@@ -19,8 +19,8 @@
     const std::string second = router.forwarded().endpoint;
     EXPECT_NE(first, second);
     router.finish("r1", second, AttemptStatus::error, 1);
-    EXPECT_TRUE(router.all<Forward>().empty());
-    EXPECT_EQ(router.all<Reject>().size(), 1u);
+    EXPECT_TRUE(router.actions_of<Forward>().empty());
+    EXPECT_EQ(router.actions_of<Reject>().size(), 1u);
 }
 
 TEST_F(RetryBudgetTest, SourceErrorsDoNotEndRequest) {
@@ -31,28 +31,28 @@
                   CacheStatus::source_unreachable);
     router.now += kSecond;
     router.handle(TimerExpired{router.last_timer()});
-    EXPECT_EQ(router.all<Forward>().size(), 1u);
+    EXPECT_EQ(router.actions_of<Forward>().size(), 1u);
 }
 
 TEST_F(RetryBudgetTest, NoRetryPastDeadline) {
     router.request("r1", "x", 40);
-    std::string at = router.forwarded().endpoint;
+    std::string endpoint = router.forwarded().endpoint;
     router.now += 3'800 * kMillisecond;
-    router.finish("r1", at, AttemptStatus::error, 0);
-    at = router.forwarded().endpoint;
+    router.finish("r1", endpoint, AttemptStatus::error, 0);
+    endpoint = router.forwarded().endpoint;
     router.now += 180 * kMillisecond;
-    router.finish("r1", at, AttemptStatus::error, 1);
-    EXPECT_EQ(router.all<Reject>().size(), 1u);
-    EXPECT_TRUE(router.all<SetTimer>().empty());
+    router.finish("r1", endpoint, AttemptStatus::error, 1);
+    EXPECT_EQ(router.actions_of<Reject>().size(), 1u);
+    EXPECT_TRUE(router.actions_of<SetTimer>().empty());
 }
 
-// With less time left than the transfer takes at full rate, a retry could only end late.
+// If the time left is shorter than the transfer at full rate, a retry could only complete late.
 TEST_F(RetryBudgetTest, RequestThatCannotCompleteInTimeIsRejected) {
-    router.request("r1", "x", 300);  // 0.3 s at full pace
-    const std::string at = router.forwarded().endpoint;
+    router.request("r1", "x", 300);  // 0.3 s at full rate
+    const std::string endpoint = router.forwarded().endpoint;
     router.now += 3'720 * kMillisecond;
-    router.finish("r1", at, AttemptStatus::error, 0);
-    EXPECT_EQ(router.all<Reject>().size(), 1u);
+    router.finish("r1", endpoint, AttemptStatus::error, 0);
+    EXPECT_EQ(router.actions_of<Reject>().size(), 1u);
 }
 
 TEST_F(RetryBudgetTest, LastTimeoutEndsBeforeDeadline) {
--- a/tests/routing/router_harness.h
+++ b/tests/routing/router_harness.h
@@ -1,4 +1,4 @@
-// Drives a router alone: settings and events in, actions out.
+// Test harness for a single router: passes in settings and events, collects the actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,14 +15,14 @@
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
 
-// Two routers in two zones, parents and the origin in a third; one class of idempotent reads.
+// Two routers in two zones, parents and origin in a third zone, one class of idempotent reads.
 inline Settings plain_settings() {
     Settings settings;
-    ClassSettings service;
-    service.latency_objective = 400 * kMillisecond;
-    service.latency_objective_stretch = 2;
-    service.deadline = 5 * kSecond;
-    settings.classes = {service};
+    ClassSettings class_settings;
+    class_settings.latency_objective = 400 * kMillisecond;
+    class_settings.latency_objective_stretch = 2;
+    class_settings.deadline = 5 * kSecond;
+    settings.classes = {class_settings};
     settings.instance_count = 2;
     settings.own_zone = 0;
     settings.instances_by_zone = {1, 1, 0};
@@ -49,19 +49,19 @@
     return settings;
 }
 
-inline Endpoint cache(const std::string& name, Micros since = 0, double weight = 4) {
-    return {.name = name, .weight = weight, .zone = 0, .started_at = since, .kind = 0, .cell = 0};
+inline Endpoint cache(const std::string& name, Micros started_at = 0, double weight = 4) {
+    return {.name = name, .weight = weight, .zone = 0, .started_at = started_at, .kind = 0, .cell = 0};
 }
 
-inline Endpoint parent(const std::string& name, Micros since = 0) {
-    return {.name = name, .weight = 20, .zone = 2, .started_at = since, .kind = 1};
+inline Endpoint parent(const std::string& name, Micros started_at = 0) {
+    return {.name = name, .weight = 20, .zone = 2, .started_at = started_at, .kind = 1};
 }
 
 inline Endpoint origin() {
     return {.name = "origin", .weight = 1, .zone = 2, .kind = 2};
 }
 
-// A router with its clock and the actions of the last event.
+// A router with a manual clock that keeps the actions of the last event.
 class RouterHarness {
   public:
     explicit RouterHarness(const Settings& settings = plain_settings(), std::uint64_t seed = 7)
@@ -71,13 +71,13 @@
         handle(EndpointUpdate{1, kind, std::move(entries)});
     }
 
-    // Replaces the actions by those of this event.
+    // Processes the event and replaces the stored actions with the resulting ones.
     void handle(const Event& event) {
         actions_.clear();
         router_.handle(now, event, actions_);
     }
 
-    // A request for `kb` kilobytes of a part, with 4 s left.
+    // Sends a request for a part of `kb` kilobytes with 4 s left.
     void request(const std::string& id, const std::string& object, double kb = 200, int part = 0) {
         RequestReceived arrival;
         arrival.id = id;
@@ -89,7 +89,7 @@
         handle(arrival);
     }
 
-    // The attempt ended; served ends the request.
+    // Reports the end of an attempt; status `served` also ends the request.
     void finish(const std::string& id, const std::string& endpoint, AttemptStatus status, int attempt = 0,
                 CacheStatus cache_status = CacheStatus::unknown) {
         AttemptFinished result;
@@ -102,25 +102,25 @@
         handle(result);
     }
 
-    // The actions of one type.
+    // The stored actions of type T.
     template <typename T>
-    std::vector<T> all() const {
+    std::vector<T> actions_of() const {
         std::vector<T> found;
         for (const Action& action : actions_)
-            if (const T* one = std::get_if<T>(&action)) found.push_back(*one);
+            if (const T* action_of_type = std::get_if<T>(&action)) found.push_back(*action_of_type);
         return found;
     }
 
-    // The one Forward among the actions.
+    // The only Forward among the actions.
     Forward forwarded() const {
-        const auto forwards = all<Forward>();
+        const auto forwards = actions_of<Forward>();
         EXPECT_EQ(forwards.size(), 1u);
         return forwards.empty() ? Forward{} : forwards.front();
     }
 
-    // The token of the last timer set.
+    // Token of the last timer set by the event.
     std::uint64_t last_timer() const {
-        const auto timers = all<SetTimer>();
+        const auto timers = actions_of<SetTimer>();
         EXPECT_FALSE(timers.empty());
         return timers.empty() ? 0 : timers.back().token;
     }
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Behaviour of the slow start, seen through the router: events in, actions out.
+// Tests of slow start through the router's interface.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,15 +13,15 @@
 namespace sumackeel::routing {
 namespace {
 
-// Transfer time, in microseconds, of the attempts for 400 new objects, one a millisecond, that name "cold" in
-// `field`.
+// Requests 400 new objects, one per millisecond, and returns the transfer time in microseconds of the
+// attempts whose `field` is "cold".
 double work_sent_to_cold(RouterHarness& router, std::string Forward::*field) {
     double sent = 0;
     for (int i = 0; i < 400; ++i) {
         router.now += kMillisecond;
         const std::string id = "r" + std::to_string(i);
         router.request(id, "o" + std::to_string(i));
-        for (const Forward& forward : router.all<Forward>()) {
+        for (const Forward& forward : router.actions_of<Forward>()) {
             if (forward.*field == "cold") sent += 200 * kMillisecond;
             router.finish(id, forward.endpoint, AttemptStatus::served);
         }
@@ -43,27 +43,29 @@
     return entry;
 }
 
-// A cache of an old list may have restarted a moment ago. Until it responds it gets no more than a cold one,
-// however long ago this router started.
+// A cache from an old list may have restarted a moment ago. Until its first response it gets at most the
+// budget of a cold cache, no matter how long this router has been running.
 TEST(SlowStart, UnverifiedCacheStaysColdUntilFirstResponse) {
     Settings settings = plain_settings();
     settings.instances_by_zone = {1};
     RouterHarness router(settings);
     router.update_endpoints({unverified(cache("cold")), parent("p"), origin()}, EndpointUpdateKind::snapshot);
     const Micros budget = static_cast<Micros>(0.2 * 2 * 4 * static_cast<double>(settings.overload_window));
-    for (int start = 0; start < 3; ++start) {  // at the start, and when slow start from it would be over
+    // At the start, and after slow start would have ended.
+    for (int iteration = 0; iteration < 3; ++iteration) {
         Micros sent = 0;
         for (int i = 0; i < 1500; ++i, router.now += kMillisecond) {
-            const std::string id = "r" + std::to_string(start) + '.' + std::to_string(i);
+            const std::string id = "r" + std::to_string(iteration) + '.' + std::to_string(i);
             router.request(id, id);
             int attempt = 0;
-            for (auto out = router.all<Forward>(); !out.empty(); out = router.all<Forward>()) {
-                if (out[0].endpoint == "cold") sent += 200 * kMillisecond;
-                router.finish(id, out[0].endpoint, AttemptStatus::connect_failed, attempt++);
+            for (auto forwards = router.actions_of<Forward>(); !forwards.empty();
+                 forwards = router.actions_of<Forward>()) {
+                if (forwards[0].endpoint == "cold") sent += 200 * kMillisecond;
+                router.finish(id, forwards[0].endpoint, AttemptStatus::connect_failed, attempt++);
             }
         }
-        EXPECT_GT(sent, 0) << start;
-        EXPECT_LT(sent, budget) << start;
+        EXPECT_GT(sent, 0) << iteration;
+        EXPECT_LT(sent, budget) << iteration;
         router.now += 20 * kSecond;
     }
 }
@@ -83,7 +85,7 @@
     EXPECT_GT(warm, 3 * just_verified);
 }
 
-// The same old list once more must not restart slow start, or clear the debt.
+// Receiving the same old list again must neither restart slow start nor clear the debt.
 TEST(SlowStart, RepeatedSnapshotDoesNotRestartSlowStart) {
     Settings settings = plain_settings();
     settings.instances_by_zone = {1};
@@ -95,7 +97,7 @@
     for (int i = 0; i < 20; ++i) {
         router.update_endpoints(old, EndpointUpdateKind::incremental);
         router.request("again " + std::to_string(i), "z" + std::to_string(i));
-        for (const Forward& forward : router.all<Forward>())
+        for (const Forward& forward : router.actions_of<Forward>())
             more += forward.endpoint == "cold" ? 200 * kMillisecond : 0;
     }
     EXPECT_GT(once, 0);
@@ -117,13 +119,13 @@
     RouterHarness router(settings);
     router.update_endpoints({cache("a"), cache("b"), parent("warm"), parent("cold", router.now - kSecond)});
     const double sent = work_sent_to_cold(router, &Forward::source);
-    // Two routers share it; in slow start it has a little over a tenth of its capacity.
+    // Two routers share the parent, which in slow start has slightly more than 0.1 of its capacity.
     EXPECT_LT(sent, 2 * 20 * 0.15 * settings.overload_window / 2);
 }
 
-// What all routers together sent to the endpoint named "cold".
+// Load that all routers together sent to the endpoint "cold".
 struct ColdLoad {
-    double worst = 0;  // in the worst overload window, over what the endpoint can take then
+    double peak = 0;   // highest load in an overload window, over what the endpoint can handle at that time
     double total = 0;  // microseconds of transfer time
 };
 
@@ -137,11 +139,13 @@
         fleet.push_back(
             std::make_unique<RouterHarness>(settings, seed * 1'000 + static_cast<std::uint64_t>(i)));
         fleet.back()->now = start;
-        const Endpoint fresh = on_parent ? parent("cold", start - kSecond) : cache("cold", start - kSecond);
-        fleet.back()->update_endpoints({cache("a"), cache("b"), cache("c"), parent("warm"), origin(), fresh});
+        const Endpoint cold_endpoint =
+            on_parent ? parent("cold", start - kSecond) : cache("cold", start - kSecond);
+        fleet.back()->update_endpoints(
+            {cache("a"), cache("b"), cache("c"), parent("warm"), origin(), cold_endpoint});
     }
     const double multiple = on_parent ? settings.parent_overload_multiple : settings.cold_overload_multiple;
-    const double from = on_parent ? settings.parent_cold_fraction : settings.cold_capacity_fraction;
+    const double cold_fraction = on_parent ? settings.parent_cold_fraction : settings.cold_capacity_fraction;
     const double weight = on_parent ? 20 : 4;
     std::deque<std::pair<Micros, double>> sent;
     ColdLoad load;
@@ -152,7 +156,7 @@
             one.now = now + 400 * kMillisecond * i / routers;
             const std::string id = "r" + std::to_string(number++);
             one.request(id, "o" + std::to_string(seed) + id);
-            for (const Forward& forward : one.all<Forward>()) {
+            for (const Forward& forward : one.actions_of<Forward>()) {
                 if (forward.*field == "cold") sent.emplace_back(one.now, 200.0 * kMillisecond);
                 one.finish(id, forward.endpoint, AttemptStatus::served);
             }
@@ -163,8 +167,8 @@
             double window = 0;
             for (const auto& [at, work] : sent) window += work;
             const double age = static_cast<double>(one.now - settings.overload_window - start + kSecond);
-            const double ramp = from + (1 - from) * std::max(0.0, age) / (20.0 * kSecond);
-            load.worst = std::max(load.worst, window / (multiple * weight * ramp * settings.overload_window));
+            const double ramp = cold_fraction + (1 - cold_fraction) * std::max(0.0, age) / (20.0 * kSecond);
+            load.peak = std::max(load.peak, window / (multiple * weight * ramp * settings.overload_window));
         }
     }
     return load;
@@ -173,16 +177,16 @@
 TEST(SlowStart, AllRoutersKeepToAndUseColdCacheBudget) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         const ColdLoad load = load_cold_endpoint(plain_settings(), 30, &Forward::endpoint, seed);
-        EXPECT_LT(load.worst, 1) << "seed " << seed;
-        EXPECT_GT(load.worst, 0.3) << "seed " << seed;
+        EXPECT_LT(load.peak, 1) << "seed " << seed;
+        EXPECT_GT(load.peak, 0.3) << "seed " << seed;
     }
 }
 
 TEST(SlowStart, AllRoutersKeepToAndUseColdParentBudget) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         const ColdLoad load = load_cold_endpoint(plain_settings(), 120, &Forward::source, seed);
-        EXPECT_LT(load.worst, 1) << "seed " << seed;
-        EXPECT_GT(load.worst, 0.2) << "seed " << seed;
+        EXPECT_LT(load.peak, 1) << "seed " << seed;
+        EXPECT_GT(load.peak, 0.2) << "seed " << seed;
         EXPECT_GT(load.total, 0) << "seed " << seed;
     }
 }
