--- a/src/endpoints/endpoint_view.cpp
+++ b/src/endpoints/endpoint_view.cpp
@@ -94,9 +94,9 @@
 // stay removed: merge() ignores older records of endpoints that are not known.
 void EndpointView::forget_removed() {
     std::vector<std::int64_t> sequences;
-    for (const auto& [id, member] : endpoints_)
-        if (member.record->located.endpoint.state == EndpointState::removed)
-            sequences.push_back(member.record->sequence);
+    for (const auto& [id, endpoint] : endpoints_)
+        if (endpoint.record->located.endpoint.state == EndpointState::removed)
+            sequences.push_back(endpoint.record->sequence);
     const auto median = sequences.begin() + static_cast<std::ptrdiff_t>(sequences.size() / 2);
     std::nth_element(sequences.begin(), median, sequences.end());
     forgotten_through_ = std::max(forgotten_through_, *median);
@@ -141,9 +141,9 @@
         return is_cache(record) && record.located.endpoint.state == EndpointState::ready;
     };
     bool any = false;
-    for (const auto& [id, member] : endpoints_) {
-        any = any || ready(*member.record);
-        if (ready(*member.record) && member.record->sequence > change.sequence)
+    for (const auto& [id, endpoint] : endpoints_) {
+        any = any || ready(*endpoint.record);
+        if (ready(*endpoint.record) && endpoint.record->sequence > change.sequence)
             return false;  // a newer record keeps it
     }
     return any && std::none_of(change.endpoints.begin(), change.endpoints.end(), [&](const auto& located) {
@@ -289,8 +289,8 @@
     }
 }
 
-Trust EndpointView::evaluate_trust(const KnownEndpoint& member, Micros now) const {
-    const EndpointRecord& record = *member.record;
+Trust EndpointView::evaluate_trust(const KnownEndpoint& endpoint, Micros now) const {
+    const EndpointRecord& record = *endpoint.record;
     if (record.located.endpoint.state != EndpointState::ready) return Trust::none;
     if (!live_ && record.source != RecordSource::watch && is_address_reassigned(record)) return Trust::none;
     // The origin does not move: the list gives its name and address but says nothing about its health.
@@ -298,7 +298,7 @@
     if (record.source == RecordSource::seed) return Trust::unverified;
     if (live_ || record.source == RecordSource::watch) return Trust::full;
     const Micros silence =
-        member.last_response_at > 0 ? std::max<Micros>(0, confirmed_at_ - member.last_response_at) : -1;
+        endpoint.last_response_at > 0 ? std::max<Micros>(0, confirmed_at_ - endpoint.last_response_at) : -1;
     const Trust by_age =
         confirmed_at_ > 0 ? trust_at(options_.staleness, now - confirmed_at_, silence) : Trust::none;
     // The seed list is the operator's statement that the endpoint exists.
@@ -332,7 +332,7 @@
         all_changed_ = true;
     changes_taken_at_ = now;
     if (std::exchange(all_changed_, false))
-        for (const auto& [id, member] : endpoints_) changed_ids_.insert(id);
+        for (const auto& [id, endpoint] : endpoints_) changed_ids_.insert(id);
     std::vector<config::LocatedEndpoint> changed;
     for (const std::string& id : std::exchange(changed_ids_, {})) {
         const auto found = endpoints_.find(id);
@@ -393,11 +393,11 @@
     saved.full_list_sequence = full_list_sequence_;
     saved.forgotten_through = forgotten_through_;
     saved.endpoints.reserve(endpoints_.size());
-    for (const auto& [id, member] : endpoints_)
-        if (member.record->source != RecordSource::seed)
-            saved.endpoints.push_back({member.record, member.last_response_at > 0
-                                                          ? std::max<Micros>(0, now - member.last_response_at)
-                                                          : -1});
+    for (const auto& [id, endpoint] : endpoints_)
+        if (endpoint.record->source != RecordSource::seed)
+            saved.endpoints.push_back(
+                {endpoint.record,
+                 endpoint.last_response_at > 0 ? std::max<Micros>(0, now - endpoint.last_response_at) : -1});
     saved.purges = purges();
     for (Purge& purge : saved.purges) purge.at = (wall_now - (now - purge.at)).micros;
     return saved;
--- a/src/endpoints/endpoint_view.h
+++ b/src/endpoints/endpoint_view.h
@@ -111,7 +111,7 @@
     // has changed how it is used.
     void mark_changed(const std::string& id) { changed_ids_.insert(id), forced_ids_.insert(id); }
     void mark_all_changed() {
-        for (const auto& [id, member] : endpoints_) mark_changed(id);
+        for (const auto& [id, endpoint] : endpoints_) mark_changed(id);
     }
     // Applies what is due by time alone: deferred updates, and purges that expire.
     void advance(Micros now);
@@ -172,7 +172,7 @@
     void drop_oldest_purge();
     bool would_remove_last_cache(const config::WatchEvent& change) const;
     bool is_cache(const EndpointRecord& record) const;
-    Trust evaluate_trust(const KnownEndpoint& member, Micros now) const;
+    Trust evaluate_trust(const KnownEndpoint& endpoint, Micros now) const;
     bool is_address_reassigned(const EndpointRecord& record) const;
     void claim_address(const std::shared_ptr<const EndpointRecord>& record);
     void forget_removed();
--- a/src/endpoints/snapshot_codec.cpp
+++ b/src/endpoints/snapshot_codec.cpp
@@ -132,13 +132,13 @@
         if (key == "whole_at") snapshot.full_list_sequence = item.val.as<std::int64_t>();
         if (key == "forgotten_to") snapshot.forgotten_through = item.val.as<std::int64_t>();
         if (key == "members") {
-            const auto& members =
+            const auto& entries =
                 array_of(item.val, 0, kMaxEndpoints, "endpoints are not an array, or too many");
-            snapshot.endpoints.reserve(members.size);
-            for (std::uint32_t m = 0; m < members.size; ++m) {
+            snapshot.endpoints.reserve(entries.size);
+            for (std::uint32_t m = 0; m < entries.size; ++m) {
                 bool known = true;
-                KnownEndpoint member = decode_endpoint(members.ptr[m], name_index, known);
-                known ? snapshot.endpoints.push_back(std::move(member)) : static_cast<void>(++left_out);
+                KnownEndpoint endpoint = decode_endpoint(entries.ptr[m], name_index, known);
+                known ? snapshot.endpoints.push_back(std::move(endpoint)) : static_cast<void>(++left_out);
             }
         }
         if (key == "purges") {
@@ -204,13 +204,14 @@
     pack.pack("whole_at"), pack.pack(snapshot.full_list_sequence);
     pack.pack("forgotten_to"), pack.pack(snapshot.forgotten_through);
     pack.pack("members"), pack.pack_array(static_cast<std::uint32_t>(snapshot.endpoints.size()));
-    for (const KnownEndpoint& member : snapshot.endpoints) {
-        const Endpoint& entry = member.record->located.endpoint;
+    for (const KnownEndpoint& endpoint : snapshot.endpoints) {
+        const Endpoint& entry = endpoint.record->located.endpoint;
         pack.pack_array(10);
-        pack.pack(entry.name), pack.pack(member.record->located.address);
+        pack.pack(entry.name), pack.pack(endpoint.record->located.address);
         pack.pack(name_at(names.zones, entry.zone)), pack.pack(name_at(names.kinds, entry.kind));
         pack.pack(entry.cell), pack.pack(entry.weight), pack.pack(static_cast<int>(entry.state));
-        pack.pack(entry.started_at), pack.pack(member.record->sequence), pack.pack(member.last_response_at);
+        pack.pack(entry.started_at), pack.pack(endpoint.record->sequence),
+            pack.pack(endpoint.last_response_at);
     }
     pack.pack("purges"), pack.pack_array(static_cast<std::uint32_t>(snapshot.purges.size()));
     for (const Purge& purge : snapshot.purges) {
