--- a/src/endpoints/watch_sources.cpp
+++ b/src/endpoints/watch_sources.cpp
@@ -155,14 +155,14 @@
 WatchSources::EventResult WatchSources::on_event(std::size_t source, std::int64_t sequence,
                                                  std::int64_t newest, Micros now) {
     Health& health = health_[source];
-    const bool went_back = sequence < health.highest_on_connection;
+    const bool is_regressed = sequence < health.highest_on_connection;
     health.highest_on_connection = std::max(health.highest_on_connection, sequence);
     health.highest = std::max(health.highest, sequence);
     record_newest(std::max(sequence, newest), now);
     on_data(source, now);
     if (sequence > newest) return EventResult::apply;
-    return went_back && !std::exchange(health.regressed, true) ? EventResult::regressed
-                                                               : EventResult::duplicate;
+    return is_regressed && !std::exchange(health.regressed, true) ? EventResult::regressed
+                                                                  : EventResult::duplicate;
 }
 
 void WatchSources::on_disconnected(std::size_t source, Micros now, std::string reason) {
