--- a/src/admin_server/admin_server.cpp
+++ b/src/admin_server/admin_server.cpp
@@ -7,19 +7,20 @@
 
 namespace {
 
-// Each answer is due within 1 s; a caller that has not sent its call whole by then never will.
+// A call has to be answered within 1 s, so one that is incomplete by then is dropped.
 constexpr base::Micros kRequestTimeout = 1'000'000;
-// Silent callers in front of one do not hold it up for longer than this, which leaves time for its answer.
-constexpr base::Micros kQueue = 400'000;
+// The time for which idle connections can delay a call that waits in the accept queue. It leaves enough of
+// the second for the reply.
+constexpr base::Micros kAcceptQueueTimeout = 400'000;
 constexpr int kBacklog = 4096;
 
-net::ListenAddress place_of(const std::string& listen) {
-    net::ListenAddress place(listen);
-    place.backlog = kBacklog;
-    return place;
+net::ListenAddress listen_address(const std::string& listen) {
+    net::ListenAddress address(listen);
+    address.backlog = kBacklog;
+    return address;
 }
 
-const char* title(int status) {
+const char* reason_phrase(int status) {
     switch (status) {
         case 200:
             return "OK";
@@ -40,27 +41,27 @@
     }
 }
 
-std::string written(const admin::ApiReply& reply) {
+std::string serialize(const admin::ApiReply& reply) {
     return fmt::format(
         "HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{}",
-        reply.status, title(reply.status), reply.body.size(), reply.body);
+        reply.status, reason_phrase(reply.status), reply.body.size(), reply.body);
 }
 
 }  // namespace
 
 struct AdminServer::Caller : net::ClientConnection {
-    AdminServer& front;
+    AdminServer& server;
     http_parser parser{};
     std::string url, body;
-    std::size_t read = 0;
-    bool whole = false, answered = false;
+    std::size_t received_bytes = 0;
+    bool complete = false, answered = false;
 
-    explicit Caller(AdminServer& owner) : front(owner) {
+    explicit Caller(AdminServer& owner) : server(owner) {
         http_parser_init(&parser, HTTP_REQUEST);
         parser.data = this;
     }
 
-    static const http_parser_settings& calls() {
+    static const http_parser_settings& parser_settings() {
         static const http_parser_settings settings = [] {
             http_parser_settings s;
             http_parser_settings_init(&s);
@@ -73,7 +74,7 @@
                 return 0;
             };
             s.on_message_complete = [](http_parser* p) {
-                static_cast<Caller*>(p->data)->whole = true;
+                static_cast<Caller*>(p->data)->complete = true;
                 http_parser_pause(p, 1);
                 return 0;
             };
@@ -83,42 +84,44 @@
     }
 
     void on_data(net::Stream& stream, std::string_view bytes) override {
-        if (answered) return;  // one call a connection: what follows it is not read
-        if ((read += bytes.size()) > front.longest_call_)
-            return answer(stream, {431, "the call is too long\n"});
-        http_parser_execute(&parser, &calls(), bytes.data(), bytes.size());
-        const auto fault = HTTP_PARSER_ERRNO(&parser);
-        if (fault != HPE_OK && fault != HPE_PAUSED) return answer(stream, {400, "the call can't be read\n"});
-        if (!whole) return front.connection_manager_.set_state(*this, net::ConnectionState::receiving);
+        if (answered) return;  // one call per connection: later bytes are ignored
+        if ((received_bytes += bytes.size()) > server.max_call_bytes_)
+            return send_reply(stream, {431, "the call is too long\n"});
+        http_parser_execute(&parser, &parser_settings(), bytes.data(), bytes.size());
+        const auto error = HTTP_PARSER_ERRNO(&parser);
+        if (error != HPE_OK && error != HPE_PAUSED)
+            return send_reply(stream, {400, "the call can't be read\n"});
+        if (!complete) return server.connection_manager_.set_state(*this, net::ConnectionState::receiving);
         const admin::ApiCall call{http_method_str(static_cast<http_method>(parser.method)), url, body};
         answered = true;
-        front.connection_manager_.set_state(
-            *this, net::ConnectionState::processing);  // no longer one to let go for room
-        const auto reply = front.taker_(call, [owner = &front, me = id()](const admin::ApiReply& late) {
-            auto* caller = static_cast<Caller*>(owner->connection_manager_.find(me));
-            if (caller && caller->stream()) caller->answer(*caller->stream(), late);
-        });
-        if (reply) answer(stream, *reply);
+        server.connection_manager_.set_state(
+            *this, net::ConnectionState::processing);  // so that it is not evicted to make room
+        const auto reply = server.handler_(
+            call, [owner = &server, connection_id = id()](const admin::ApiReply& deferred_reply) {
+                auto* caller = static_cast<Caller*>(owner->connection_manager_.find(connection_id));
+                if (caller && caller->stream()) caller->send_reply(*caller->stream(), deferred_reply);
+            });
+        if (reply) send_reply(stream, *reply);
     }
 
-    void answer(net::Stream& stream, const admin::ApiReply& reply) {
+    void send_reply(net::Stream& stream, const admin::ApiReply& reply) {
         answered = true;
-        stream.write(written(reply));
-        front.connection_manager_.close(*this);
+        stream.write(serialize(reply));
+        server.connection_manager_.close(*this);
     }
 
     void on_closed() override {}
 };
 
-AdminServer::AdminServer(net::Loop& loop, const std::string& listen, CallHandler taker,
-                         std::size_t longest_call)
-    : taker_(std::move(taker)),
-      longest_call_(longest_call),
-      connection_manager_(loop, place_of(listen), kMaxConnections,
+AdminServer::AdminServer(net::Loop& loop, const std::string& listen, CallHandler handler,
+                         std::size_t max_call_bytes)
+    : handler_(std::move(handler)),
+      max_call_bytes_(max_call_bytes),
+      connection_manager_(loop, listen_address(listen), kMaxConnections,
                           {.request = kRequestTimeout,
                            .idle = kRequestTimeout,
                            .write = kRequestTimeout,
-                           .accept_queue = kQueue},
+                           .accept_queue = kAcceptQueueTimeout},
                           [this] { return std::make_unique<Caller>(*this); }) {}
 
 }  // namespace sumackeel::admin_server
--- a/src/admin_server/admin_server.h
+++ b/src/admin_server/admin_server.h
@@ -1,6 +1,6 @@
-// The operators' address: HTTP/1.1, one call a connection, answered at once on the loop and closed.
-// Callers that send nothing or half a call hold one of few places for 1 s at most, and the longest silent
-// one makes room for a new caller: they cost bounded descriptors and never the clients' loop.
+// The HTTP/1.1 server of the admin API: one call per connection, handled on the event loop, then closed.
+// A connection without a complete call lasts for at most 1 s, and the one idle for longest is evicted when a
+// new one needs its place. So idle callers use a bounded number of descriptors and do not delay clients.
 #pragma once
 
 #include <functional>
@@ -12,31 +12,32 @@
 
 namespace sumackeel::admin_server {
 
-// Each call to the operators' address, answered from the loop's thread: at once, or (none) by `later`, once.
+// Handles a call on the event loop's thread. Returns the reply, or nothing and calls `deferred` once with it
+// later.
 using DeferredReply = std::function<void(const admin::ApiReply&)>;
 using CallHandler =
-    std::function<std::optional<admin::ApiReply>(const admin::ApiCall& call, DeferredReply later)>;
+    std::function<std::optional<admin::ApiReply>(const admin::ApiCall& call, DeferredReply deferred)>;
 
 class AdminServer {
   public:
-    // Callers at once; more wait in the queue of the listener or push out the longest silent one.
-    // A third of the daemon's reserve of 24 descriptors.
+    // More callers wait in the accept queue, or evict the connection idle for longest. The limit is a third
+    // of the 24 descriptors that the daemon reserves.
     static constexpr int kMaxConnections = 8;
 
-    // A call is a line and a few headers, and where releases are on at most a plan; anything larger is no
-    // operator's.
+    // A call consists of a request line and a few headers, and with releases enabled also of a plan. Larger
+    // calls are rejected.
     static constexpr std::size_t kMaxCallBytes = 8 * 1024, kMaxPlanBytes = 64 * 1024;
 
-    AdminServer(net::Loop& loop, const std::string& listen, CallHandler taker,
-                std::size_t longest_call = kMaxCallBytes);
+    AdminServer(net::Loop& loop, const std::string& listen, CallHandler handler,
+                std::size_t max_call_bytes = kMaxCallBytes);
     int port() const { return connection_manager_.port(); }
     void stop_listening() { connection_manager_.stop_listening(false); }
     std::size_t connection_count() const { return connection_manager_.connection_count(); }
 
   private:
     struct Caller;
-    CallHandler taker_;
-    std::size_t longest_call_;
+    CallHandler handler_;
+    std::size_t max_call_bytes_;
     net::ConnectionManager connection_manager_;
 };
 
--- a/src/platform_server/platform_server.cpp
+++ b/src/platform_server/platform_server.cpp
@@ -14,41 +14,43 @@
 
 namespace {
 
-constexpr std::size_t kMostOpen = 32;         // on one connection
-constexpr std::size_t kMostUnsent = 4 << 20;  // to one client, before nothing more is read from it
-constexpr std::size_t kLongestBody = 48'000;
-// What can't be used is owed an end within 3 s of connecting; an honest request comes in one go.
-constexpr base::Micros kRequestIn = 2'000'000;
-constexpr base::Micros kIdle = 5'000'000;     // clients close after 4 s themselves
-constexpr base::Micros kReading = 5'000'000;  // an answer of 240 KB takes 0.8 s at the usual pace
-constexpr base::Micros kSettle = 5'000;       // us; a client reacts to a response within it
-constexpr int kMostParts = 1'000'000;
-constexpr double kMostNeed = 1e6;                  // KB; an object has a small part of this
-constexpr base::Micros kLongestWait = 60'000'000;  // a time-out beyond this is no sound figure
+constexpr std::size_t kMaxOpenRequests = 32;      // per connection
+constexpr std::size_t kMaxUnsentBytes = 4 << 20;  // per connection; beyond it, reading pauses
+constexpr std::size_t kMaxBodyBytes = 48'000;
+// A connection that sends nothing usable has to be closed within 3 s of connecting. A regular client sends a
+// request at once.
+constexpr base::Micros kRequestTimeout = 2'000'000;
+constexpr base::Micros kIdleTimeout = 5'000'000;   // clients close after 4 s themselves
+constexpr base::Micros kWriteTimeout = 5'000'000;  // a response of 240 KB takes 0.8 s at the usual rate
+constexpr base::Micros kSettleTime = 5'000;        // us; a client reacts to a response within this time
+constexpr int kMaxPart = 1'000'000;
+constexpr double kMaxSizeKb = 1e6;                      // KB; far above the size of any object
+constexpr base::Micros kMaxClientTimeout = 60'000'000;  // longer time-outs are invalid
 
-std::string text(const std::map<std::string, std::string>& fields, const char* name) {
+std::string get_field(const std::map<std::string, std::string>& fields, const char* name) {
     const auto found = fields.find(name);
     return found == fields.end() ? std::string{} : found->second;
 }
 
-// A figure within its range; false: it is none. One that is absent leaves `into` as it is.
+// False: not a number, or out of range. An absent field leaves `into` unchanged.
 template <typename T>
-bool figure(const std::map<std::string, std::string>& fields, const char* name, T least, T most, T& into) {
+bool read_number(const std::map<std::string, std::string>& fields, const char* name, T min, T max, T& into) {
     const auto found = fields.find(name);
     if (found == fields.end()) return true;
     const std::string& text = found->second;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), into);
-    return read.ec == std::errc{} && read.ptr == text.data() + text.size() && into >= least && into <= most;
+    return read.ec == std::errc{} && read.ptr == text.data() + text.size() && into >= min && into <= max;
 }
 
-// Names of requests and objects. They go on into the line protocol, where a space, a comma or a line's end
-// would make another request, and a cache that can't read one closes on all that is open there.
-bool hex_name(const std::string& text) {
+// Ids of requests and objects. They are written to the line protocol of the pop caches, where a space, a
+// comma or a line break would change the request, and a cache closes a connection with an invalid request,
+// which fails all requests open on it.
+bool is_hex_id(const std::string& text) {
     return text.size() == 16 &&
            std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isxdigit(c); });
 }
 
-bool plain(const std::string& text) {
+bool is_alphanumeric(const std::string& text) {
     return text.size() <= 64 &&
            std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isalnum(c); });
 }
@@ -56,64 +58,65 @@
 }  // namespace
 
 struct PlatformServer::Client : net::ClientConnection {
-    PlatformServer& front;
+    PlatformServer& server;
     FrameReader reader;
     struct OpenCall {
-        Handle ours, cores;    // our entry and the core's request
-        bool held = false;     // to be refused by a drain: the core does not know it
-        bool hurried = false;  // to be answered by the drain's own time
+        Handle entry, core_request;       // in open_requests_, and in the core
+        bool rejection_pending = false;   // delayed rejection by a drain: not submitted to the core
+        bool has_drain_deadline = false;  // has the drain's response deadline
     };
-    std::map<std::int32_t, OpenCall> open;  // by seqid
+    std::map<std::int32_t, OpenCall> open_calls;  // by seqid
     std::int32_t last_seqid = 0;
-    bool has_received_frame = false;  // a whole frame has come
-    bool reading = false;             // within on_data(): further frames may follow
-    bool overlaps = false;            // a request has come while another was open
-    base::Micros came = 0;            // when the last byte of what is being read came
+    bool has_received_frame = false;  // a complete one
+    bool processing_input = false;    // within on_data(): further frames may follow
+    bool has_overlapped = false;      // a request arrived while another was open
+    base::Micros last_byte_at = 0;    // when the last byte of the frame being read arrived
 
-    explicit Client(PlatformServer& owner) : front(owner) {}
+    explicit Client(PlatformServer& owner) : server(owner) {}
 
     void on_data(net::Stream&, std::string_view bytes) override {
-        came = received_at();
-        if (peer_has_left()) return front.connection_manager_.close(*this);
-        reading = true;
+        last_byte_at = received_at();
+        if (peer_has_left()) return server.connection_manager_.close(*this);
+        processing_input = true;
         reader.read(bytes, [this](std::string_view frame) {
             has_received_frame = true;
-            front.call(*this, decode_call(frame));
+            server.handle_call(*this, decode_call(frame));
             return stream() != nullptr;
         });
-        reading = false;
-        front.refuse_held(*this);
+        processing_input = false;
+        server.send_delayed_rejections(*this);
         update_state();
     }
     void on_write_drained(net::Stream&) override { update_state(true); }
-    void update_state(bool has_read = false) {
+    void update_state(bool response_read = false) {
         if (!stream()) return;
-        // Danger: what is not read is not heard, a cancellation and an end of the connection among it. So as
-        // long as requests are open reading goes on, up to a further bound: refusals and answers to `alive`
-        // add up too.
-        stream()->pause(stream()->unsent_bytes() > (open.empty() ? kMostUnsent : 2 * kMostUnsent));
-        const net::ConnectionState doing = !open.empty()                  ? net::ConnectionState::processing
+        // Danger: while reading is paused, cancellations and disconnects go unnoticed. So the limit is twice
+        // as high while requests are open; there is one, as rejections and replies to `alive` add up too.
+        stream()->pause(stream()->unsent_bytes() >
+                        (open_calls.empty() ? kMaxUnsentBytes : 2 * kMaxUnsentBytes));
+        const net::ConnectionState state = !open_calls.empty()            ? net::ConnectionState::processing
                                            : stream()->unsent_bytes() > 0 ? net::ConnectionState::flushing
                                            : !has_received_frame ? net::ConnectionState::awaiting_request
                                            : reader.partial()    ? net::ConnectionState::receiving
                                                                  : net::ConnectionState::idle;
-        front.connection_manager_.set_state(*this, doing, has_read);
+        server.connection_manager_.set_state(*this, state, response_read);
     }
-    bool overlaps_requests() const override { return overlaps; }
+    bool overlaps_requests() const override { return has_overlapped; }
     void on_closed() override {
-        for (const auto& [seqid, one] : open) {
-            front.open_.remove(one.ours);
-            front.core_.cancel(one.cores);
+        for (const auto& [seqid, open_call] : open_calls) {
+            server.open_requests_.remove(open_call.entry);
+            server.core_.cancel(open_call.core_request);
         }
-        open.clear();
+        open_calls.clear();
     }
-    // Its client waits for each response before it sends, and nothing is open behind this one. A client whose
-    // requests overlap may be sending already, for it had an earlier response just now.
+    // The client sends one request at a time, and no other is open. A client with overlapping requests may
+    // already be sending the next one, in reaction to an earlier response.
     bool waits_for_last_response() const {
-        return open.empty() && !overlaps && !reading && !reader.partial();
+        return open_calls.empty() && !has_overlapped && !processing_input && !reader.partial();
     }
     bool waits_for_core() const {
-        return std::ranges::any_of(open, [](const auto& entry) { return !entry.second.held; });
+        return std::ranges::any_of(open_calls,
+                                   [](const auto& entry) { return !entry.second.rejection_pending; });
     }
 };
 
@@ -123,152 +126,162 @@
       site_(site),
       limits_(limits),
       loop_(loop),
-      connection_manager_(loop, listen, limits.connections,
-                          {.request = kRequestIn, .idle = kIdle, .write = kReading, .settle = kSettle},
-                          [this] { return std::make_unique<Client>(*this); }) {}
+      connection_manager_(
+          loop, listen, limits.connections,
+          {.request = kRequestTimeout, .idle = kIdleTimeout, .write = kWriteTimeout, .settle = kSettleTime},
+          [this] { return std::make_unique<Client>(*this); }) {}
 
-// What no cache could use is turned away here: sent on, it would count against the caches that can't use it.
-bool PlatformServer::read_ask(ThriftCall& call, core::Request& ask) const {
-    const auto kind = text(call.fields, "kind");
-    const auto place = std::find(site_.classes.begin(), site_.classes.end(), kind);
-    if (place == site_.classes.end()) return false;
-    ask.class_index = static_cast<int>(place - site_.classes.begin());
-    ask.class_name = kind;
-    ask.id = text(call.fields, "req");
-    ask.object = text(call.fields, "subject");
-    ask.client_etag = text(call.fields, "seen");
-    // The origin drops repeats by this key alone. Sent on without one a request could run twice.
-    const bool keyed =
-        site_.settings.classes[ask.class_index].retry_safety == routing::RetrySafety::with_idempotency_key;
-    if (keyed) ask.idempotency_key = text(call.fields, "opkey");
-    if (keyed && (ask.idempotency_key.empty() || !plain(ask.idempotency_key))) return false;
-    const bool kept = !site_.settings.classes[ask.class_index].uncacheable;
-    if (!hex_name(ask.id) || !plain(ask.client_etag) || call.body.size() > kLongestBody) return false;
-    if (!hex_name(ask.object) && (kept || !ask.object.empty())) return false;
+// Requests that no cache can process are refused here: forwarded, their failures would count against the
+// caches.
+bool PlatformServer::decode_request(ThriftCall& call, core::Request& request) const {
+    const auto kind = get_field(call.fields, "kind");
+    const auto found_class = std::find(site_.classes.begin(), site_.classes.end(), kind);
+    if (found_class == site_.classes.end()) return false;
+    request.class_index = static_cast<int>(found_class - site_.classes.begin());
+    request.class_name = kind;
+    request.id = get_field(call.fields, "req");
+    request.object = get_field(call.fields, "subject");
+    request.client_etag = get_field(call.fields, "seen");
+    // The origin detects duplicates by this key only. Without it, a request could be executed twice.
+    const bool needs_key = site_.settings.classes[request.class_index].retry_safety ==
+                           routing::RetrySafety::with_idempotency_key;
+    if (needs_key) request.idempotency_key = get_field(call.fields, "opkey");
+    if (needs_key && (request.idempotency_key.empty() || !is_alphanumeric(request.idempotency_key)))
+        return false;
+    const bool cacheable = !site_.settings.classes[request.class_index].uncacheable;
+    if (!is_hex_id(request.id) || !is_alphanumeric(request.client_etag) || call.body.size() > kMaxBodyBytes)
+        return false;
+    if (!is_hex_id(request.object) && (cacheable || !request.object.empty())) return false;
     std::int64_t timeout_ms = 0;
-    const bool sound = figure<std::int64_t>(call.fields, "timeout", 1, kLongestWait / 1000, timeout_ms) &&
-                       figure(call.fields, "slice", 0, kMostParts, ask.part) &&
-                       figure(call.fields, "set", 0, 255, ask.purge_group) &&
-                       figure(call.fields, "need", 0.0, kMostNeed, ask.size_kb);
-    if (!sound || timeout_ms == 0) return false;
-    ask.time_left = timeout_ms * 1000;
-    ask.body = std::move(call.body);
+    const bool valid =
+        read_number<std::int64_t>(call.fields, "timeout", 1, kMaxClientTimeout / 1000, timeout_ms) &&
+        read_number(call.fields, "slice", 0, kMaxPart, request.part) &&
+        read_number(call.fields, "set", 0, 255, request.purge_group) &&
+        read_number(call.fields, "need", 0.0, kMaxSizeKb, request.size_kb);
+    if (!valid || timeout_ms == 0) return false;
+    request.time_left = timeout_ms * 1000;
+    request.body = std::move(call.body);
     return true;
 }
 
-void PlatformServer::call(Client& client, ThriftCall call) {
+void PlatformServer::handle_call(Client& client, ThriftCall call) {
     switch (call.method) {
         case Method::alive:
             return client.stream()->write(encode_alive(call.seqid, ready_));
         case Method::unknown:
             return client.stream()->write(encode_unknown_method(call.name, call.seqid));
         case Method::cancel: {
-            const auto found = client.open.find(call.cancelled);
-            if (found == client.open.end()) return;  // answered already
-            const Client::OpenCall one = found->second;
-            client.open.erase(found);
-            open_.remove(one.ours);
-            return core_.cancel(one.cores);
+            const auto found = client.open_calls.find(call.cancelled_seqid);
+            if (found == client.open_calls.end()) return;  // already has its response
+            const Client::OpenCall open_call = found->second;
+            client.open_calls.erase(found);
+            open_requests_.remove(open_call.entry);
+            return core_.cancel(open_call.core_request);
         }
         case Method::dispatch:
             break;
     }
     if (call.seqid <= client.last_seqid) throw FrameError("sequence numbers don't rise");
     client.last_seqid = call.seqid;
-    if (!client.open.empty()) client.overlaps = true;
+    if (!client.open_calls.empty()) client.has_overlapped = true;
     const base::Micros now = loop_.clock().now();
-    const bool refuses = connection_manager_.drain().rejects_new_requests(now);
-    if (refuses) hurry(client, now);
-    core::Request ask;
-    if (!read_ask(call, ask) || core_.is_open(ask.id))
+    const bool rejecting = connection_manager_.drain().rejects_new_requests(now);
+    if (rejecting) set_drain_deadlines(client, now);
+    core::Request request;
+    if (!decode_request(call, request) || core_.is_open(request.id))
         return client.stream()->write(encode_response(call.seqid, {}));
-    const bool unread = connection_manager_.unsent_bytes() > limits_.unsent_bytes;
-    if (unread) connection_manager_.evict_slowest_reader(client);
-    const bool crowded =
-        client.open.size() >= kMostOpen || unread || client.stream()->unsent_bytes() > kMostUnsent ||
+    const bool over_budget = connection_manager_.unsent_bytes() > limits_.unsent_bytes;
+    if (over_budget) connection_manager_.evict_slowest_reader(client);
+    const bool overloaded =
+        client.open_calls.size() >= kMaxOpenRequests || over_budget ||
+        client.stream()->unsent_bytes() > kMaxUnsentBytes ||
         core_.open_requests() >= static_cast<std::size_t>(std::max(1, site_.settings.max_in_flight));
-    ask.received_at = client.came;  // from then on the time runs
-    if (crowded || ask.received_at + ask.time_left <= now)
+    request.received_at = client.last_byte_at;  // the time-out counts from here
+    if (overloaded || request.received_at + request.time_left <= now)
         return client.stream()->write(
             encode_response(call.seqid, {.status = core::ResponseStatus::rejected}));
-    if (refuses) return turn_away(client, call.seqid, ask.received_at + ask.time_left - now, now);
-    const Handle ours = open_.add({client.id(), call.seqid});
-    const Handle cores = core_.submit(std::move(ask), *this, ours.number());
-    client.open[call.seqid] = {ours, cores};
+    if (rejecting)
+        return reject_for_drain(client, call.seqid, request.received_at + request.time_left - now, now);
+    const Handle entry = open_requests_.add({client.id(), call.seqid});
+    const Handle core_request = core_.submit(std::move(request), *this, entry.number());
+    client.open_calls[call.seqid] = {entry, core_request};
 }
 
-// What is open on a connection on which requests go on coming late in a drain: it may not hold up the moment
-// with nothing open beyond the drain's own time.
-void PlatformServer::hurry(Client& client, base::Micros now) {
-    for (auto& [seqid, one] : client.open) {
-        if (one.held || std::exchange(one.hurried, true)) continue;
+// Applies when a request arrives late in a drain: the requests open on its connection get the drain's
+// response deadline, so that the connection has a moment without an open request in time.
+void PlatformServer::set_drain_deadlines(Client& client, base::Micros now) {
+    for (auto& [seqid, open_call] : client.open_calls) {
+        if (open_call.rejection_pending || std::exchange(open_call.has_drain_deadline, true)) continue;
         ++drain_metrics_.hurried;
-        core_.set_response_deadline(one.cores, connection_manager_.drain().response_deadline(now));
+        core_.set_response_deadline(open_call.core_request,
+                                    connection_manager_.drain().response_deadline(now));
     }
 }
 
-// A request that comes late in a drain is refused, so that its connection gets a moment with nothing open.
-void PlatformServer::turn_away(Client& client, std::int32_t seqid, base::Micros left, base::Micros now) {
+// A request that arrives late in a drain is rejected, so that its connection has a moment without an open
+// request. The rejection is delayed while the connection has requests open in the core.
+void PlatformServer::reject_for_drain(Client& client, std::int32_t seqid, base::Micros time_left,
+                                      base::Micros now) {
     ++drain_metrics_.rejected;
     if (!client.waits_for_core())
         return client.stream()->write(encode_response(seqid, {.status = core::ResponseStatus::rejected}));
     ++drain_metrics_.held;
-    const Handle ours = open_.add({client.id(), seqid});
-    client.open[seqid] = {.ours = ours, .cores = {}, .held = true};
-    log::debug("connection={} seqid={} held by the drain", client.id(), seqid);
-    loop_.timers().schedule(connection_manager_.drain().rejection_deadline(now, left),
-                            [this, ours, alive = std::weak_ptr<bool>(alive_)] {
+    const Handle entry = open_requests_.add({client.id(), seqid});
+    client.open_calls[seqid] = {.entry = entry, .core_request = {}, .rejection_pending = true};
+    log::debug("platform_server: drain delays rejection connection={} seqid={}", client.id(), seqid);
+    loop_.timers().schedule(connection_manager_.drain().rejection_deadline(now, time_left),
+                            [this, entry, alive = std::weak_ptr<bool>(alive_)] {
                                 if (!alive.expired())
-                                    on_response(ours.number(), {.status = core::ResponseStatus::rejected});
+                                    on_response(entry.number(), {.status = core::ResponseStatus::rejected});
                             });
 }
 
-// Once nothing else is open on their connection.
-void PlatformServer::refuse_held(Client& client) {
+// Called when the connection may have no other request open.
+void PlatformServer::send_delayed_rejections(Client& client) {
     if (!client.stream() || client.waits_for_core()) return;
-    for (const auto& [seqid, one] : std::exchange(client.open, {})) {
-        open_.remove(one.ours);
+    for (const auto& [seqid, open_call] : std::exchange(client.open_calls, {})) {
+        open_requests_.remove(open_call.entry);
         client.stream()->write(encode_response(seqid, {.status = core::ResponseStatus::rejected}));
     }
 }
 
 void PlatformServer::set_draining(bool on, const admin::DrainSchedule& drain) {
-    const bool over = connection_manager_.drain().is_active() && !drain.is_active();
+    const bool drain_ended = connection_manager_.drain().is_active() && !drain.is_active();
     connection_manager_.set_drain(drain);
     connection_manager_.set_draining(on);
-    if (over) end_drain();
+    if (drain_ended) end_drain();
 }
 
-// What was held is refused, and what was hurried has its own time again.
+// Sends the delayed rejections; requests with the drain's response deadline get their own one back.
 void PlatformServer::end_drain() {
     std::vector<std::uint64_t> held;
-    open_.for_each([&](Handle ours, const Open& open) {
+    open_requests_.for_each([&](Handle entry, const OpenRequest& open) {
         auto* client = static_cast<Client*>(connection_manager_.find(open.client));
         if (!client) return;
-        const auto found = client->open.find(open.seqid);
-        if (found == client->open.end()) return;
-        if (found->second.held) return held.push_back(ours.number());
-        found->second.hurried = false;
-        core_.set_response_deadline(found->second.cores, std::nullopt);
+        const auto found = client->open_calls.find(open.seqid);
+        if (found == client->open_calls.end()) return;
+        if (found->second.rejection_pending) return held.push_back(entry.number());
+        found->second.has_drain_deadline = false;
+        core_.set_response_deadline(found->second.core_request, std::nullopt);
     });
-    for (const std::uint64_t ours : held) on_response(ours, {.status = core::ResponseStatus::rejected});
+    for (const std::uint64_t entry : held) on_response(entry, {.status = core::ResponseStatus::rejected});
 }
 
-void PlatformServer::on_response(std::uint64_t cookie, core::Response reply) {
-    const Handle ours = Handle::of(cookie);
-    const Open* open = open_.find(ours);
+void PlatformServer::on_response(std::uint64_t cookie, core::Response response) {
+    const Handle entry = Handle::of(cookie);
+    const OpenRequest* open = open_requests_.find(entry);
     if (!open) return;
-    const auto [number, seqid] = *open;
-    open_.remove(ours);
-    auto* found = static_cast<Client*>(connection_manager_.find(number));
+    const auto [client_id, seqid] = *open;
+    open_requests_.remove(entry);
+    auto* found = static_cast<Client*>(connection_manager_.find(client_id));
     if (!found) return;
     Client& client = *found;
-    client.open.erase(seqid);
+    client.open_calls.erase(seqid);
     if (client.waits_for_last_response())
-        connection_manager_.write_last_response(client, encode_response(seqid, reply));
+        connection_manager_.write_last_response(client, encode_response(seqid, response));
     else
-        client.stream()->write(encode_response(seqid, reply));
-    refuse_held(client);
+        client.stream()->write(encode_response(seqid, response));
+    send_delayed_rejections(client);
     client.update_state();
 }
 
--- a/src/platform_server/platform_server.h
+++ b/src/platform_server/platform_server.h
@@ -1,4 +1,4 @@
-// The front for the platform's clients: Thrift calls to requests of the core, replies to answers.
+// The server for the platform's clients: passes Thrift calls to the core as requests, and its responses back.
 #pragma once
 
 #include <memory>
@@ -12,10 +12,10 @@
 
 namespace sumackeel::platform_server {
 
-// What one front may hold; beyond it refuses.
+// Resource limits of the server; requests beyond them are rejected.
 struct Limits {
     int connections = 340;
-    std::size_t unsent_bytes = 64 << 20;  // answers that clients have not read yet, in all
+    std::size_t unsent_bytes = 64 << 20;  // of responses, over all connections
 };
 
 class PlatformServer : core::ResponseSink {
@@ -25,28 +25,28 @@
 
     int port() const { return connection_manager_.port(); }
     void stop_listening(bool others_listen) { connection_manager_.stop_listening(others_listen); }
-    // On a drain or at the end; `drain`: the one that is on, or none.
+    // Called when a drain starts or ends and at shutdown. `drain`: the drain in progress, or none.
     void set_draining(bool on, const admin::DrainSchedule& drain);
-    // When the process, being shut down, has all that is open answered.
+    // By this time during a shutdown, all open requests have a response.
     void set_shutdown_deadline(base::Micros at) { connection_manager_.set_shutdown_deadline(at); }
-    // When the process ends.
+    // When the process exits.
     void set_exit_deadline(base::Micros at) { connection_manager_.set_exit_deadline(at); }
     void close_all_idle() { connection_manager_.close_all_idle(); }
     bool has_pending_input() const { return connection_manager_.has_pending_input(); }
     std::size_t connection_count() const { return connection_manager_.connection_count(); }
-    // What `alive` says: whether this proxy takes work (not while it drains or ends).
+    // The reply to `alive`: whether this proxy accepts requests (false during a drain or shutdown).
     void set_ready(bool ready) { ready_ = ready; }
     void set_limits(const Limits& limits) {
         limits_ = limits, connection_manager_.set_max_connections(limits.connections);
     }
     bool has_unsent_responses() const { return connection_manager_.unsent_bytes() > 0; }
-    const net::ConnectionManager& connection_manager() const { return connection_manager_; }  // for figures
+    const net::ConnectionManager& connection_manager() const { return connection_manager_; }  // for metrics
 
-    // Requests that drains turned away, since the start.
+    // Requests affected by drains, since the process started.
     struct DrainMetrics {
-        std::uint64_t rejected = 0;  // at once, or once nothing else was open on their connection
-        std::uint64_t held = 0;      // of those, held back first
-        std::uint64_t hurried = 0;   // open beside refused ones, and so to be answered before their deadline
+        std::uint64_t rejected = 0;  // immediately or after a delay
+        std::uint64_t held = 0;      // of the rejected: with a delay, as others were open on the connection
+        std::uint64_t hurried = 0;   // open beside a rejected request, so given the drain's response deadline
     };
     const DrainMetrics& drain_metrics() const { return drain_metrics_; }
 
@@ -54,24 +54,24 @@
     struct Client;
 
     void on_response(std::uint64_t cookie, core::Response reply) override;
-    void call(Client& client, ThriftCall call);
-    void hurry(Client& client, base::Micros now);
-    void turn_away(Client& client, std::int32_t seqid, base::Micros left, base::Micros now);
-    void refuse_held(Client& client);
+    void handle_call(Client& client, ThriftCall call);
+    void set_drain_deadlines(Client& client, base::Micros now);
+    void reject_for_drain(Client& client, std::int32_t seqid, base::Micros time_left, base::Micros now);
+    void send_delayed_rejections(Client& client);
     void end_drain();
-    bool read_ask(ThriftCall& call, core::Request& ask) const;
+    bool decode_request(ThriftCall& call, core::Request& request) const;
 
     core::Core& core_;
     const config::Site& site_;
     Limits limits_;
-    struct Open {
+    struct OpenRequest {
         std::uint64_t client = 0;
         std::int32_t seqid = 0;
     };
-    base::SlotMap<Open> open_;
-    bool ready_ = false;  // what `alive` says: not before the daemon has said so
+    base::SlotMap<OpenRequest> open_requests_;
+    bool ready_ = false;  // the reply to `alive`; false until set_ready()
     DrainMetrics drain_metrics_;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what is set in the loop
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // checked by timers
     net::Loop& loop_;
     net::ConnectionManager connection_manager_;
 };
--- a/src/platform_server/thrift_codec.cpp
+++ b/src/platform_server/thrift_codec.cpp
@@ -18,14 +18,14 @@
 
 namespace {
 
-constexpr std::size_t kLongestFrame = 56 * 1024;  // a write's 48,000 bytes and its fields; each of many
-                                                  // clients may have sent half of one
-constexpr std::int32_t kLongestText = 64 * 1024;
-constexpr std::int32_t kMostFields = 64;
+constexpr std::size_t kMaxFrameBytes = 56 * 1024;  // a body of 48,000 bytes and its fields; kept small, as
+                                                   // each of many clients may have a partial one buffered
+constexpr std::int32_t kMaxStringBytes = 64 * 1024;
+constexpr std::int32_t kMaxFields = 64;
 
-// Reads the fields of a struct; `read` returns false for one that it does not know.
+// Reads the fields of a struct; those for which `read_field` returns false are skipped.
 template <typename Read>
-void read_struct(Protocol& in, Read read) {
+void read_struct(Protocol& in, Read read_field) {
     std::string name;
     tp::TType type = tp::T_STOP;
     std::int16_t id = 0;
@@ -33,7 +33,7 @@
     for (;;) {
         in.readFieldBegin(name, type, id);
         if (type == tp::T_STOP) break;
-        if (!read(type, id)) in.skip(type);
+        if (!read_field(type, id)) in.skip(type);
         in.readFieldEnd();
     }
     in.readStructEnd();
@@ -65,20 +65,20 @@
     out.writeMapEnd();
 }
 
-std::string framed(std::size_t expected, const std::function<void(Protocol&)>& write) {
-    const auto memory = std::make_shared<TMemoryBuffer>(static_cast<std::uint32_t>(expected));
-    Protocol out(memory);
+std::string encode_frame(std::size_t expected_size, const std::function<void(Protocol&)>& write) {
+    const auto buffer = std::make_shared<TMemoryBuffer>(static_cast<std::uint32_t>(expected_size));
+    Protocol out(buffer);
     out.setStrict(true, true);
-    out.writeI32(0);  // the length comes last
+    out.writeI32(0);  // the length, filled in at the end
     write(out);
-    std::string frame = memory->getBufferAsString();
+    std::string frame = buffer->getBufferAsString();
     const auto length = static_cast<std::uint32_t>(frame.size() - 4);
     for (int i = 0; i < 4; ++i) frame[i] = static_cast<char>(length >> (24 - 8 * i));
     return frame;
 }
 
 void write_result(Protocol& out, const std::string& body, const std::map<std::string, std::string>& fields,
-                  bool good) {
+                  bool success) {
     out.writeFieldBegin("success", tp::T_STRUCT, 0);
     out.writeStructBegin("Answer");
     out.writeFieldBegin("body", tp::T_STRING, 1);
@@ -86,12 +86,12 @@
     out.writeFieldBegin("fields", tp::T_MAP, 2);
     write_map(out, fields);
     out.writeFieldBegin("good", tp::T_BOOL, 3);
-    out.writeBool(good);
+    out.writeBool(success);
     out.writeFieldStop();
 }
 
-void write_exception(Protocol& out, std::int16_t place, const std::map<std::string, std::string>& fields) {
-    out.writeFieldBegin("", tp::T_STRUCT, place);
+void write_exception(Protocol& out, std::int16_t field_id, const std::map<std::string, std::string>& fields) {
+    out.writeFieldBegin("", tp::T_STRUCT, field_id);
     out.writeStructBegin("");
     out.writeFieldBegin("fields", tp::T_MAP, 1);
     write_map(out, fields);
@@ -100,44 +100,45 @@
 
 }  // namespace
 
-void FrameReader::read(std::string_view bytes, const std::function<bool(std::string_view)>& whole) {
-    constexpr std::size_t kHead = 4;
-    const auto length_of = [](std::string_view head) {
+void FrameReader::read(std::string_view bytes, const std::function<bool(std::string_view)>& on_frame) {
+    constexpr std::size_t kHeaderBytes = 4;
+    const auto length_of = [](std::string_view header) {
         std::size_t length = 0;
-        for (std::size_t i = 0; i < kHead; ++i) length = length << 8 | static_cast<unsigned char>(head[i]);
-        if (length == 0 || length > kLongestFrame) throw FrameError("a frame's length can't be");
+        for (std::size_t i = 0; i < kHeaderBytes; ++i)
+            length = length << 8 | static_cast<unsigned char>(header[i]);
+        if (length == 0 || length > kMaxFrameBytes) throw FrameError("a frame's length can't be");
         return length;
     };
     const auto fill_up_to = [&](std::size_t size) {
-        const std::size_t more = std::min(bytes.size(), size - std::min(size, rest_.size()));
-        rest_.append(bytes.substr(0, more));
-        bytes.remove_prefix(more);
-        return rest_.size() >= size;
+        const std::size_t count = std::min(bytes.size(), size - std::min(size, partial_frame_.size()));
+        partial_frame_.append(bytes.substr(0, count));
+        bytes.remove_prefix(count);
+        return partial_frame_.size() >= size;
     };
-    if (!rest_.empty()) {
-        if (!fill_up_to(kHead)) return;
-        const std::size_t length = length_of(rest_);
-        rest_.reserve(kHead + length);
-        if (!fill_up_to(kHead + length)) return;
-        const std::string frame = std::exchange(rest_, {});
-        if (!whole(std::string_view(frame).substr(kHead))) return;
+    if (!partial_frame_.empty()) {
+        if (!fill_up_to(kHeaderBytes)) return;
+        const std::size_t length = length_of(partial_frame_);
+        partial_frame_.reserve(kHeaderBytes + length);
+        if (!fill_up_to(kHeaderBytes + length)) return;
+        const std::string frame = std::exchange(partial_frame_, {});
+        if (!on_frame(std::string_view(frame).substr(kHeaderBytes))) return;
     }
-    while (bytes.size() >= kHead) {
+    while (bytes.size() >= kHeaderBytes) {
         const std::size_t length = length_of(bytes);
-        if (bytes.size() < kHead + length) break;
-        const std::string_view frame = bytes.substr(kHead, length);
-        bytes.remove_prefix(kHead + length);
-        if (!whole(frame)) return;
+        if (bytes.size() < kHeaderBytes + length) break;
+        const std::string_view frame = bytes.substr(kHeaderBytes, length);
+        bytes.remove_prefix(kHeaderBytes + length);
+        if (!on_frame(frame)) return;
     }
-    rest_ = bytes;
+    partial_frame_ = bytes;
 }
 
 ThriftCall decode_call(std::string_view frame) {
     try {
-        const auto memory =
+        const auto buffer =
             std::make_shared<TMemoryBuffer>(reinterpret_cast<std::uint8_t*>(const_cast<char*>(frame.data())),
                                             static_cast<std::uint32_t>(frame.size()), TMemoryBuffer::OBSERVE);
-        Protocol in(memory, kLongestText, kMostFields, true, true);
+        Protocol in(buffer, kMaxStringBytes, kMaxFields, true, true);
         ThriftCall call;
         tp::TMessageType type{};
         in.readMessageBegin(call.name, type, call.seqid);
@@ -152,30 +153,31 @@
             else if (call.method == Method::dispatch && id == 2 && field == tp::T_STRING)
                 in.readBinary(call.body);
             else if (call.method == Method::cancel && id == 1 && field == tp::T_I32)
-                in.readI32(call.cancelled);
+                in.readI32(call.cancelled_seqid);
             else
                 return false;
             return true;
         });
         in.readMessageEnd();
         return call;
-    } catch (const apache::thrift::TException& wrong) {
-        throw FrameError(wrong.what());
+    } catch (const apache::thrift::TException& error) {
+        throw FrameError(error.what());
     }
 }
 
-std::string encode_response(std::int32_t seqid, const core::Response& reply) {
+std::string encode_response(std::int32_t seqid, const core::Response& response) {
     using core::ResponseStatus;
-    return framed(reply.body.size() + 256, [&](Protocol& out) {
+    return encode_frame(response.body.size() + 256, [&](Protocol& out) {
         out.writeMessageBegin("dispatch", tp::T_REPLY, seqid);
         out.writeStructBegin("dispatch_result");
         std::map<std::string, std::string> fields;
-        if (reply.status == ResponseStatus::served || reply.status == ResponseStatus::not_modified) {
-            if (reply.status == ResponseStatus::not_modified) fields["current"] = "1";
-            write_result(out, reply.status == ResponseStatus::not_modified ? std::string{} : reply.body,
+        if (response.status == ResponseStatus::served || response.status == ResponseStatus::not_modified) {
+            if (response.status == ResponseStatus::not_modified) fields["current"] = "1";
+            write_result(out, response.status == ResponseStatus::not_modified ? std::string{} : response.body,
                          fields, true);
-        } else if (reply.status == ResponseStatus::rejected) {
-            if (reply.retry_after > 0) fields["holdoff"] = std::to_string((reply.retry_after + 999) / 1000);
+        } else if (response.status == ResponseStatus::rejected) {
+            if (response.retry_after > 0)
+                fields["holdoff"] = std::to_string((response.retry_after + 999) / 1000);
             write_exception(out, 1, fields);
         } else {
             write_exception(out, 2, fields);
@@ -186,18 +188,18 @@
     });
 }
 
-std::string encode_alive(std::int32_t seqid, bool good) {
-    return framed(128, [&](Protocol& out) {
+std::string encode_alive(std::int32_t seqid, bool ready) {
+    return encode_frame(128, [&](Protocol& out) {
         out.writeMessageBegin("alive", tp::T_REPLY, seqid);
         out.writeStructBegin("alive_result");
-        write_result(out, {}, {}, good);
+        write_result(out, {}, {}, ready);
         out.writeFieldStop();
         out.writeMessageEnd();
     });
 }
 
 std::string encode_unknown_method(const std::string& name, std::int32_t seqid) {
-    return framed(256, [&](Protocol& out) {
+    return encode_frame(256, [&](Protocol& out) {
         out.writeMessageBegin(name, tp::T_EXCEPTION, seqid);
         TApplicationException(TApplicationException::UNKNOWN_METHOD, "no such method").write(&out);
         out.writeMessageEnd();
--- a/src/platform_server/thrift_codec.h
+++ b/src/platform_server/thrift_codec.h
@@ -1,4 +1,4 @@
-// The platform's Thrift messages: frames of the strict binary protocol to calls, answers to frames.
+// Decodes the platform's Thrift calls and encodes the replies: framed transport, strict binary protocol.
 #pragma once
 
 #include <cstdint>
@@ -25,24 +25,26 @@
     std::int32_t seqid = 0;
     std::map<std::string, std::string> fields;
     std::string body;
-    std::int32_t cancelled = 0;  // the seqid that cancelRequest names
+    std::int32_t cancelled_seqid = 0;  // the argument of cancelRequest
 };
 
-// Bytes in, whole frames out. Between calls it keeps no more than the part of one frame.
+// Splits a stream of bytes into frames. Between calls it buffers at most one partial frame.
 class FrameReader {
   public:
-    // `whole` says whether to go on. Throws FrameError on a length that can't be.
-    void read(std::string_view bytes, const std::function<bool(std::string_view)>& whole);
-    bool partial() const { return !rest_.empty(); }
+    // Calls `on_frame` for each complete frame until it returns false. Throws FrameError on an invalid
+    // length.
+    void read(std::string_view bytes, const std::function<bool(std::string_view)>& on_frame);
+    bool partial() const { return !partial_frame_.empty(); }
 
   private:
-    std::string rest_;
+    std::string partial_frame_;
 };
 
 ThriftCall decode_call(std::string_view frame);  // throws FrameError
-std::string encode_response(std::int32_t seqid, const core::Response& reply);
-// `good`: this proxy takes work. The front asks it every 0.1 s and sends no new clients after a no.
-std::string encode_alive(std::int32_t seqid, bool good);
+std::string encode_response(std::int32_t seqid, const core::Response& response);
+// `ready`: this proxy accepts requests. The platform's front end asks every 0.1 s and sends no new clients
+// after a false.
+std::string encode_alive(std::int32_t seqid, bool ready);
 std::string encode_unknown_method(const std::string& name, std::int32_t seqid);
 
 }  // namespace sumackeel::platform_server
--- a/src/signed_url_server/signed_urls.cpp
+++ b/src/signed_url_server/signed_urls.cpp
@@ -14,16 +14,16 @@
 
 namespace {
 
-constexpr std::string_view kPackage = "URISigningPackage";
-constexpr std::size_t kLongestContainer = 512;
+constexpr std::string_view kPackageParameter = "URISigningPackage";
+constexpr std::size_t kMaxContainerBytes = 512;
 constexpr std::int64_t kVersion = 1;
 
-bool contains(const std::vector<std::string>& list, const std::string& one) {
-    return std::find(list.begin(), list.end(), one) != list.end();
+bool contains(const std::vector<std::string>& list, const std::string& item) {
+    return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-// No escapes and no dot segments: such a target has one spelling only, and that is what was signed.
-bool plain_name(std::string_view text) {
+// Without escapes and dot segments a target has only one spelling, which is the one that was signed.
+bool is_plain_segment(std::string_view text) {
     return !text.empty() && text.size() <= 64 && text != "." && text != ".." &&
            std::all_of(text.begin(), text.end(), [](unsigned char c) {
                return c < 0x80 && (std::isalnum(c) || c == '-' || c == '_' || c == '.');
@@ -37,18 +37,19 @@
 }
 
 std::string base64url(const unsigned char* bytes, std::size_t length) {
-    static constexpr char kHexDigits[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+    static constexpr char kBase64UrlAlphabet[] =
+        "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
     std::string text;
     for (std::size_t i = 0; i < length; i += 3) {
         std::uint32_t group = 0;
-        const std::size_t some = std::min<std::size_t>(3, length - i);
-        for (std::size_t j = 0; j < 3; ++j) group = group << 8 | (j < some ? bytes[i + j] : 0);
-        for (std::size_t j = 0; j <= some; ++j) text += kHexDigits[group >> (18 - 6 * j) & 63];
+        const std::size_t count = std::min<std::size_t>(3, length - i);
+        for (std::size_t j = 0; j < 3; ++j) group = group << 8 | (j < count ? bytes[i + j] : 0);
+        for (std::size_t j = 0; j <= count; ++j) text += kBase64UrlAlphabet[group >> (18 - 6 * j) & 63];
     }
     return text;
 }
 
-// The segment form of RFC 6920.
+// The hash of a URI in the segment form of RFC 6920.
 std::string hash_segment(const std::string& uri) {
     unsigned char digest[EVP_MAX_MD_SIZE];
     unsigned int length = 0;
@@ -56,9 +57,9 @@
     return "sha-256;" + base64url(digest, length);
 }
 
-// The whole URI must match: a pattern that fits somewhere inside would let other paths in.
+// The pattern has to match the whole URI: a match of a part would allow other paths.
 bool matches_whole(const std::string& pattern, const std::string& uri) {
-    if (pattern.size() > kLongestContainer) return false;
+    if (pattern.size() > kMaxContainerBytes) return false;
     regex_t regex;
     if (regcomp(&regex, pattern.c_str(), REG_EXTENDED) != 0) return false;
     regmatch_t match{};
@@ -76,129 +77,135 @@
 }  // namespace
 
 bool parse_target(std::string_view text, Target& target) {
-    const auto mark = std::min(text.find('?'), text.size());
-    std::string_view path = text.substr(0, mark), query = text.substr(std::min(mark + 1, text.size()));
+    const auto query_start = std::min(text.find('?'), text.size());
+    std::string_view path = text.substr(0, query_start),
+                     query = text.substr(std::min(query_start + 1, text.size()));
     target.path = path;
     while (!query.empty()) {
         const auto end = std::min(query.find('&'), query.size());
-        const std::string_view part = query.substr(0, end);
+        const std::string_view parameter = query.substr(0, end);
         query.remove_prefix(std::min(end + 1, query.size()));
-        const auto equals = std::min(part.find('='), part.size());
-        const std::string_view name = part.substr(0, equals),
-                               value = part.substr(std::min(equals + 1, part.size()));
-        if (name == kPackage) {
-            if (!target.package.empty()) return false;  // which of the two would count?
+        const auto equals = std::min(parameter.find('='), parameter.size());
+        const std::string_view name = parameter.substr(0, equals),
+                               value = parameter.substr(std::min(equals + 1, parameter.size()));
+        if (name == kPackageParameter) {
+            if (!target.package.empty()) return false;  // a second one would be ambiguous
             target.package = value;
             continue;
         }
-        const bool known = name == "set" ? target.group < 0 && read_number(value, target.group) &&
+        const bool valid = name == "set" ? target.group < 0 && read_number(value, target.group) &&
                                                target.group >= 0 && target.group <= 255
                            : name == "need" ? read_number(value, target.size_kb) && target.size_kb >= 0 &&
                                                   std::isfinite(target.size_kb)
                                             : false;
-        if (!known) return false;
-        target.query += (target.query.empty() ? "" : "&") + std::string(part);
+        if (!valid) return false;
+        target.query += (target.query.empty() ? "" : "&") + std::string(parameter);
     }
     if (path.empty() || path.front() != '/') return false;
     path.remove_prefix(1);
-    std::vector<std::string_view> names;
+    std::vector<std::string_view> segments;
     for (;;) {
         const auto end = std::min(path.find('/'), path.size());
-        names.push_back(path.substr(0, end));
+        segments.push_back(path.substr(0, end));
         if (end == path.size()) break;
         path.remove_prefix(end + 1);
     }
-    if (names.size() < 2 || names.size() > 3 || !plain_name(names[0]) || !plain_name(names[1])) return false;
-    target.service = names[0];
-    target.object = names[1];
-    return names.size() == 2 || (read_number(names[2], target.part) && target.part >= 0);
+    if (segments.size() < 2 || segments.size() > 3 || !is_plain_segment(segments[0]) ||
+        !is_plain_segment(segments[1]))
+        return false;
+    target.service = segments[0];
+    target.object = segments[1];
+    return segments.size() == 2 || (read_number(segments[2], target.part) && target.part >= 0);
 }
 
 std::string LinkVerifier::uri(const Target& target) const {
-    return front_.scheme + "://" + front_.host + target.path +
+    return config_.scheme + "://" + config_.host + target.path +
            (target.query.empty() ? "" : "?" + target.query);
 }
 
-// A live setting may widen or narrow the leeway, within the same bounds as the operator's file.
+// A live setting overrides the operator's file, within the same bounds.
 double LinkVerifier::leeway() const {
     const auto live = live_ ? live_("setting/leeway_s") : std::nullopt;
     double seconds = 0;
-    return live && read_number(*live, seconds) && seconds >= 0 && seconds <= 60 ? seconds : front_.leeway_s;
+    return live && read_number(*live, seconds) && seconds >= 0 && seconds <= 60 ? seconds : config_.leeway_s;
 }
 
-bool LinkVerifier::in_force(const std::optional<Claims>& claims) const {
+bool LinkVerifier::is_key_enabled(const std::optional<Claims>& claims) const {
     return claims && !(live_ && live_("key/" + claims->kid) == "off");
 }
 
-bool LinkVerifier::in_time(const Claims& claims, double now) const {
+bool LinkVerifier::is_current(const Claims& claims, double now) const {
     return claims.expires && now < *claims.expires + leeway() &&
            (!claims.not_before || now >= *claims.not_before - leeway());
 }
 
-bool LinkVerifier::for_us(const Claims& claims) const {
-    return contains(claims.audience, front_.audience);
+bool LinkVerifier::has_our_audience(const Claims& claims) const {
+    return contains(claims.audience, config_.audience);
 }
 
-std::string LinkVerifier::why_not_link(const Claims& link, const Target& target, double now) const {
+std::string LinkVerifier::link_error(const Claims& link, const Target& target, double now) const {
     if (link.version.value_or(kVersion) != kVersion) return "the link is of another version";
-    static const std::vector<std::string> understood{"iss", "sub", "aud",    "exp",
-                                                     "nbf", "jti", "cdniuc", "cdniv"};
+    static const std::vector<std::string> supported{"iss", "sub", "aud",    "exp",
+                                                    "nbf", "jti", "cdniuc", "cdniv"};
     for (const std::string& claim : link.critical)
-        if (!contains(understood, claim)) return "the link demands what is not supported";
-    if (link.has_address || link.renews) return "the link demands what is not supported";
-    if (!contains(front_.link_issuers, link.issuer)) return "the link is from an unknown issuer";
-    if (!for_us(link)) return "the link is for another service";
-    if (!in_time(link, now)) return "the link has expired or is not yet good";
-    const std::string full = uri(target);
-    const bool here = link.container.starts_with("hash:")    ? link.container.substr(5) == hash_segment(full)
-                      : link.container.starts_with("regex:") ? matches_whole(link.container.substr(6), full)
-                                                             : false;
-    return here ? "" : "the link is for another path";
-}
-
-LinkCheck LinkVerifier::check(const Target& target, std::string_view bearer, bool effect, double now) const {
+        if (!contains(supported, claim)) return "the link demands what is not supported";
+    if (link.has_client_ip || link.is_renewable) return "the link demands what is not supported";
+    if (!contains(config_.link_issuers, link.issuer)) return "the link is from an unknown issuer";
+    if (!has_our_audience(link)) return "the link is for another service";
+    if (!is_current(link, now)) return "the link has expired or is not yet good";
+    const std::string full_uri = uri(target);
+    const bool matches_uri =
+        link.uri_container.starts_with("hash:")    ? link.uri_container.substr(5) == hash_segment(full_uri)
+        : link.uri_container.starts_with("regex:") ? matches_whole(link.uri_container.substr(6), full_uri)
+                                                   : false;
+    return matches_uri ? "" : "the link is for another path";
+}
+
+LinkCheck LinkVerifier::check(const Target& target, std::string_view bearer, bool has_side_effects,
+                              double now) const {
     const auto student = keys_.verify(bearer, Purpose::student, now);
-    if (!in_force(student) || student->subject.empty() || !contains(front_.token_issuers, student->issuer) ||
-        !for_us(*student) || !in_time(*student, now))
+    if (!is_key_enabled(student) || student->subject.empty() ||
+        !contains(config_.token_issuers, student->issuer) || !has_our_audience(*student) ||
+        !is_current(*student, now))
         return {401, bearer.empty() ? "a student's token is needed" : "the token does not hold", {}, 0};
     const auto link = keys_.verify(target.package, Purpose::link, now);
-    if (!in_force(link))
+    if (!is_key_enabled(link))
         return {403, target.package.empty() ? "a signed link is needed" : "the link does not hold", {}, 0};
-    if (const std::string why = why_not_link(*link, target, now); !why.empty()) return {403, why, {}, 0};
+    if (const std::string error = link_error(*link, target, now); !error.empty()) return {403, error, {}, 0};
     const auto subject = keys_.decrypt(link->subject, now);
-    if (!subject || !same_secret(*subject, student->subject))
+    if (!subject || !equal_constant_time(*subject, student->subject))
         return {403, "the link is another student's", {}, 0};
     if (live_ && !link->id.empty() && live_("revoked/" + link->id))
         return {403, "the link was revoked", {}, 0};
-    if (effect && link->id.empty()) return {403, "this needs a link for one use", {}, 0};
-    LinkCheck verdict;
+    if (has_side_effects && link->id.empty()) return {403, "this needs a link for one use", {}, 0};
+    LinkCheck result;
     if (!link->id.empty()) {
-        verdict.one_time_id = link->issuer + '\n' + link->id;
-        verdict.one_time_expires_at = *link->expires + leeway();
+        result.one_time_id = link->issuer + '\n' + link->id;
+        result.one_time_expires_at = *link->expires + leeway();
     }
-    return verdict;
+    return result;
 }
 
 std::string LinkVerifier::sign(const Target& target, const std::string& link_kid,
                                const std::string& subject_kid, const std::string& student, double expires,
                                const std::string& jti) const {
     Json::Value claims(Json::objectValue);
-    claims["iss"] = front_.link_issuers.empty() ? "" : front_.link_issuers.front();
-    claims["aud"] = front_.audience;
+    claims["iss"] = config_.link_issuers.empty() ? "" : config_.link_issuers.front();
+    claims["aud"] = config_.audience;
     claims["sub"] = keys_.encrypt(subject_kid, student);
     claims["exp"] = expires;
     claims["cdniv"] = Json::Int64{kVersion};
     claims["cdniuc"] = "hash:" + hash_segment(uri(target));
     if (!jti.empty()) claims["jti"] = jti;
-    return uri(target) + (target.query.empty() ? "?" : "&") + std::string(kPackage) + '=' +
+    return uri(target) + (target.query.empty() ? "?" : "&") + std::string(kPackageParameter) + '=' +
            keys_.sign(link_kid, to_text(claims));
 }
 
 std::string LinkVerifier::student_token(const std::string& kid, const std::string& student,
                                         double expires) const {
     Json::Value claims(Json::objectValue);
-    claims["iss"] = front_.token_issuers.empty() ? "" : front_.token_issuers.front();
-    claims["aud"] = front_.audience;
+    claims["iss"] = config_.token_issuers.empty() ? "" : config_.token_issuers.front();
+    claims["aud"] = config_.audience;
     claims["sub"] = student;
     claims["exp"] = expires;
     return keys_.sign(kid, to_text(claims));
