--- a/src/signed_url_server/tokens.cpp
+++ b/src/signed_url_server/tokens.cpp
@@ -219,7 +219,7 @@
                                                    payload.size(), &err)
                                   : nullptr);
     if (!jws || !cjose_jws_export(jws.get(), &text, &err))
-        throw ConfigError("key '" + kid + "': signing failed");
+        throw ConfigError("key '" + kid + "' can't sign");
     return text;
 }
 
@@ -236,7 +236,7 @@
                                                       plaintext.size(), &err)
                                   : nullptr);
     const std::unique_ptr<char, BytesDeleter> text(jwe ? cjose_jwe_export(jwe.get(), &err) : nullptr);
-    if (!text) throw ConfigError("key '" + kid + "': encryption failed");
+    if (!text) throw ConfigError("key '" + kid + "' can't encrypt");
     return text.get();
 }
 
