--- a/src/daemon/admin_state_applier.cpp
+++ b/src/daemon/admin_state_applier.cpp
@@ -8,12 +8,12 @@
 }
 
 void AdminStateApplier::on_ban_called(const std::string& id) {
-    components_.handover.keep_ban(id);
+    components_.handover.record_ban(id);
     on_state_changed();
 }
 
 void AdminStateApplier::on_drain_called() {
-    components_.handover.keep_drain();
+    components_.handover.record_drain();
     on_state_changed();
 }
 
@@ -28,14 +28,14 @@
     parts.drain_report->now(parts.drain_schedule);
 }
 
-// The leases that were persisted hold until the replicated log is known again.
+// Persisted leases apply until the replicated log is known again.
 void AdminStateApplier::persist() {
     const Components& parts = components_;
     if (!parts.recovery || parts.admin_state.phase() == admin::ProcessPhase::starting) return;
     parts.recovery->persist(parts.admin_state.bans(), known_leases(), parts.admin_state.drain_requested());
 }
 
-// Those of the operators, those of leases, and until their present form is known those that were persisted.
+// Bans by operators and by leases, and persisted ones until the current ones are known.
 std::set<std::string> AdminStateApplier::effective_bans() const {
     const Components& parts = components_;
     std::set<std::string> bans = parts.admin_state.bans();
@@ -50,8 +50,8 @@
     return bans;
 }
 
-// Those of the replicated state as it stands here, those granted here that it does not show yet, and while it
-// is not known those that were persisted.
+// Leases in this proxy's copy of the replicated state, those granted here that it does not contain yet, and
+// the persisted ones while it is not known.
 std::set<std::string> AdminStateApplier::known_leases() const {
     const Components& parts = components_;
     if (!parts.consensus_client) return {};
@@ -65,8 +65,8 @@
     return leased;
 }
 
-// A drain counts from the call that was first accepted, also where it is called again. One under way when the
-// process is shut down goes on.
+// A drain starts with the first accepted call; repeated calls do not restart it. A drain in progress
+// continues when the process shuts down.
 void AdminStateApplier::update_drain_schedule() {
     Components& parts = components_;
     const admin::ProcessPhase phase = parts.admin_state.phase();
--- a/src/daemon/admin_state_applier.h
+++ b/src/daemon/admin_state_applier.h
@@ -1,5 +1,5 @@
-// Carries out the administrative state: bans, the drain and readiness reach the servers and the router, and
-// the state is kept for the next process and for recovery.
+// Applies the administrative state: passes bans, the drain and readiness to the servers and the router, and
+// saves the state for the next process and for recovery.
 #pragma once
 
 #include <set>
@@ -14,17 +14,17 @@
     // The components must outlive this.
     explicit AdminStateApplier(Components& components) : components_(components) {}
 
-    // Brings the servers and the router to the state as it stands: bans, draining, readiness. Idempotent.
+    // Applies bans, draining and readiness to the servers and the router. Idempotent.
     void apply();
-    // Persists bans, leases and the drain for recovery after a loss of power; nothing while starting.
+    // Persists bans, leases and the drain for recovery after a loss of power. Does nothing while starting.
     void persist();
     // The state has changed: applies and persists it.
     void on_state_changed();
-    // The same by a call to this process, also where it changed nothing: hands it over besides.
+    // The same for a call to this process, which is also handed over, even if it changed nothing.
     void on_ban_called(const std::string& id);
     void on_drain_called();
 
-    // The pop caches that this proxy knows to be out by lease; not those that it was told of by others.
+    // The pop caches that this proxy knows to be out by lease, without those learned from other proxies.
     std::set<std::string> known_leases() const;
 
   private:
--- a/src/daemon/admin_state_handover.cpp
+++ b/src/daemon/admin_state_handover.cpp
@@ -15,14 +15,14 @@
 // A call to another process is in force here within a second.
 constexpr Micros kFollowInterval = 200'000;
 constexpr Micros kMaxReadAheadAge = 2 * kFollowInterval;
-constexpr Micros kReadRetryDelay = 20'000;  // at a start, which waits for it
+constexpr Micros kReadRetryDelay = 20'000;  // while startup waits for it
 constexpr Micros kRetryInterval = 100'000;
-// What another process wrote behind a reading that is older is not in it: this process stood still.
+// An older reading does not confirm a call: this process was suspended, and others may have written since.
 constexpr Micros kMaxReadingAge = 100'000;
-// A file that can't be read for so long is passed over.
+// A file that can't be read for this long is skipped.
 constexpr Micros kUnreadableTimeout = 10'000'000;
-// Operators call the process before this one until the platform knows that this one is ready; it is killed
-// at most 6 s plus 3.7 s later. One of an earlier version reads the legacy file for as long.
+// Operators call the previous process until the platform knows that this one is ready; the previous one is
+// killed at most 6 s plus 3.7 s later. If it is of an earlier version, it reads the legacy file until then.
 constexpr Micros kLegacyReadDuration = 10'000'000;
 
 std::uint64_t random_writer() {
@@ -50,80 +50,80 @@
 }
 
 AdminStateHandover::~AdminStateHandover() {
-    if (take_deadline_) loop_.timers().cancel(*take_deadline_);
+    if (take_over_deadline_) loop_.timers().cancel(*take_over_deadline_);
     if (pass_timer_) loop_.timers().cancel(*pass_timer_);
 }
 
 // --- Taking over ---
 
 void AdminStateHandover::read_ahead() {
-    if (used() && !passes_.busy()) start_pass();
+    if (is_enabled() && !passes_.busy()) start_pass();
 }
 
-// Treated as missing, a file that can't be read for a moment would lose its bans.
-void AdminStateHandover::take(Micros until, bool follows) {
+// Waits for an unreadable file: if a temporary read error counted as a missing file, its bans would be lost.
+void AdminStateHandover::take_over(Micros until, bool follows) {
     follows_ = follows;
-    taking_ = true;
+    take_over_started_ = true;
     const bool is_fresh = read_once_ && loop_.clock().now() - read_at_ <= kMaxReadAheadAge;
-    if (!used() || is_fresh) return finish_take();
-    take_deadline_ = loop_.timers().schedule(until, [this] {
-        take_deadline_.reset();
-        finish_take();
+    if (!is_enabled() || is_fresh) return finish_take_over();
+    take_over_deadline_ = loop_.timers().schedule(until, [this] {
+        take_over_deadline_.reset();
+        finish_take_over();
     });
     if (!passes_.busy()) start_pass();
 }
 
-void AdminStateHandover::finish_take() {
-    if (std::exchange(taken_, true)) return;
-    if (take_deadline_) loop_.timers().cancel(*take_deadline_);
-    take_deadline_.reset();
+void AdminStateHandover::finish_take_over() {
+    if (std::exchange(taken_over_, true)) return;
+    if (take_over_deadline_) loop_.timers().cancel(*take_over_deadline_);
+    take_over_deadline_.reset();
     state_.on_started();
     if (!record_.empty()) {
         state_.adopt(record_.state());
         log::info("handover: state_adopted bans={} phase={}", state_.bans().size(),
                   admin::name_of(state_.phase()));
     }
-    hooks_.taken();
-    if (used() && !passes_.busy()) schedule_next_pass();
+    hooks_.taken_over();
+    if (is_enabled() && !passes_.busy()) schedule_next_pass();
 }
 
 // --- Calls ---
 
-void AdminStateHandover::keep_ban(const std::string& id) {
+void AdminStateHandover::record_ban(const std::string& id) {
     record_.set_banned(id, state_.is_banned(id));
-    call_made();
+    on_call_recorded();
 }
 
-void AdminStateHandover::keep_drain() {
+void AdminStateHandover::record_drain() {
     record_.set_draining(state_.drain_requested());
-    call_made();
+    on_call_recorded();
 }
 
-void AdminStateHandover::call_made() {
+void AdminStateHandover::on_call_recorded() {
     dirty_ = true;
     has_unwritten_call_ = true;
     read_since_call_ = false;
-    if (used() && !passes_.busy()) start_pass();
+    if (is_enabled() && !passes_.busy()) start_pass();
 }
 
-std::string AdminStateHandover::unkept_reason() const {
-    if (!has_unkept()) return {};
+std::string AdminStateHandover::unconfirmed_reason() const {
+    if (!has_unconfirmed_calls()) return {};
     if (!last_error_.empty()) return "hand-over: " + last_error_;
     return read_once_ ? "hand-over: the disk has not answered yet" : "hand-over: not read yet";
 }
 
 // --- Passes over the disk ---
 
-// Before a call is written, what others wrote is read: written below a version that is there already, it
-// would have to be written twice.
-bool AdminStateHandover::reads_before_writing() const {
+// The records of the others are read before a call is written: a call written with a version lower than an
+// existing one would have to be written again.
+bool AdminStateHandover::must_read_before_writing() const {
     const bool others_may_write = follows_ || has_running_writers_ || !read_once_;
     return has_unwritten_call_ && others_may_write && !read_since_call_;
 }
 
 HandoverPass AdminStateHandover::next_pass() {
     HandoverPass pass;
-    if (dirty_ && !reads_before_writing()) {
+    if (dirty_ && !must_read_before_writing()) {
         pass.own_text = record_.encode();
         pass.ended_writers = ended_writers_;
     } else if (!dirty_ && !record_.has_unconfirmed() && legacy_copy_outdated()) {
@@ -159,7 +159,7 @@
         read_at_ = loop_.clock().now();
         if (!has_unwritten_call_ && scan.was_read && steady_now() - scan.read_at <= kMaxReadingAge)
             record_.confirm();
-        if (taking_ && read_once_) finish_take();
+        if (take_over_started_ && read_once_) finish_take_over();
     }
     log::debug(
         "handover: pass done took_us={} own_bytes={} read={} records={} ended={} unconfirmed={} error={}",
@@ -191,14 +191,14 @@
     has_unwritten_call_ = has_unwritten_call_ || reasserted;
     dirty_ = dirty_ || reasserted || legacy_changed || !ended_writers_.empty();
     const admin::State after = record_.state();
-    if (!taken_ || after == before) return;
+    if (!taken_over_ || after == before) return;
     state_.apply_difference(before, after);
     log::info("handover: state_followed bans={} phase={}", state_.bans().size(),
               admin::name_of(state_.phase()));
     hooks_.followed();
 }
 
-// Whether the record has changed by it.
+// Returns whether the record has changed.
 bool AdminStateHandover::merge_legacy(const std::string& text) {
     const admin::DecodedState legacy = admin::decode_state(text);
     if (!legacy.state) {
@@ -213,7 +213,7 @@
 // --- The file for processes of earlier versions ---
 
 bool AdminStateHandover::legacy_copy_outdated() const {
-    return taken_ && !record_.empty() && loop_.clock().now() - started_at_ >= kLegacyReadDuration &&
+    return taken_over_ && !record_.empty() && loop_.clock().now() - started_at_ >= kLegacyReadDuration &&
            admin::encode_legacy_copy(record_.state()) != legacy_copy_;
 }
 
@@ -227,11 +227,11 @@
 // --- When the next pass is due ---
 
 std::optional<Micros> AdminStateHandover::next_pass_delay() const {
-    if (!last_error_.empty()) return taking_ && !taken_ ? kReadRetryDelay : kRetryInterval;
+    if (!last_error_.empty()) return take_over_started_ && !taken_over_ ? kReadRetryDelay : kRetryInterval;
     if (dirty_ || record_.has_unconfirmed()) return 0;
-    if (follows_ || has_running_writers_ || !taken_) return kFollowInterval;
+    if (follows_ || has_running_writers_ || !taken_over_) return kFollowInterval;
     const Micros age = loop_.clock().now() - started_at_;
-    if (taken_ && !record_.empty() && age < kLegacyReadDuration) return kLegacyReadDuration - age;
+    if (taken_over_ && !record_.empty() && age < kLegacyReadDuration) return kLegacyReadDuration - age;
     if (legacy_copy_outdated()) return kFollowInterval;
     return std::nullopt;
 }
--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -117,7 +117,7 @@
 }
 
 std::string Components::unwritten_reason() {
-    const std::string reason = handover.unkept_reason();
+    const std::string reason = handover.unconfirmed_reason();
     return reason.empty() && recovery ? recovery->writer().unwritten_reason() : reason;
 }
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -20,7 +20,7 @@
   public:
     Process(const config::Config& config, const config::Operator& setup, Files files)
         : components_(config, setup, std::move(files),
-                      {.handover = {.taken = [this] { startup_.on_state_taken_over(); },
+                      {.handover = {.taken_over = [this] { startup_.on_state_taken_over(); },
                                     .followed =
                                         [this] {
                                             leases_.adopt_drain_request();
--- a/src/daemon/disruption_budget.h
+++ b/src/daemon/disruption_budget.h
@@ -1,5 +1,5 @@
-// The fleet as the agreed log judges a leave by: who there is of each kind, by school, and who is out by
-// itself.
+// The fleet as input for the disruption budget of the replicated log: the members of each kind with their
+// zones, and which of them are unavailable without a lease.
 #pragma once
 
 #include <map>
@@ -16,20 +16,21 @@
 
 class DisruptionBudgetView {
   public:
-    DisruptionBudgetView(const config::Site& site, base::Micros gone_counts)
-        : site_(site), gone_counts_(gone_counts) {}
+    DisruptionBudgetView(const config::Site& site, base::Micros removed_counts_for)
+        : site_(site), removed_counts_for_(removed_counts_for) {}
 
-    // Pop caches and parents, the origin apart. Out: draining, gone for less than gone_counts, or cold.
+    // Pop caches and parents, without the origin. Unavailable: draining, removed less than
+    // `removed_counts_for` ago, or cold.
     std::vector<rollout::FleetMember> pop_caches(const endpoints::EndpointView& view, base::Micros now);
-    // Proxies. Out: whoever does not serve for sure. `draining`: this one does.
+    // Proxies. Unavailable: every proxy that is not known to be alive. `draining`: this proxy drains.
     std::vector<rollout::FleetMember> proxies(const cluster::Membership& group, bool draining) const;
 
   private:
     std::string parent_region_of(int zone) const;
 
     const config::Site& site_;
-    base::Micros gone_counts_;
-    std::map<std::string, base::Micros> gone_;  // since when each was seen as gone
+    base::Micros removed_counts_for_;
+    std::map<std::string, base::Micros> removed_since_;  // by endpoint: when it was first seen as removed
 };
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/endpoint_manager.cpp
+++ b/src/daemon/endpoint_manager.cpp
@@ -12,13 +12,15 @@
 
 namespace {
 
-// A folder is read in milliseconds. One that takes longer than this is taken up when it has been read, and
-// the proxy serves by what else it knows until then.
-constexpr std::chrono::milliseconds kWaitForList{500};
-constexpr Micros kLookForList = 100'000;
-// From a purge to its event, with room for a log that was sure for what had not arrived yet.
-constexpr Micros kNotifiedWithin = 1'000'000;
-constexpr std::size_t kMostStarts = 200'000;  // of members ever told; beyond it they are read anew
+// Reading the directory normally takes milliseconds. If it takes longer than this, the snapshot is loaded
+// once it has been read; until then the proxy serves by what it knows from other sources.
+constexpr std::chrono::milliseconds kSnapshotLoadTimeout{500};
+constexpr Micros kSnapshotPollInterval = 100'000;
+// Upper bound of the time from a purge to its event, with a margin for a change log that confirmed the list
+// while an event was still on its way.
+constexpr Micros kPurgeEventDelay = 1'000'000;
+constexpr std::size_t kMaxStartTimes =
+    200'000;  // of all endpoints ever reported; beyond it they are converted anew
 
 endpoints::ViewOptions view_options(const config::Config& config, const config::Operator& setup) {
     endpoints::ViewOptions options;
@@ -33,8 +35,8 @@
     return options;
 }
 
-// The platform's change log alone is called again each 100 ms: what it has to tell counts as told soon.
-endpoints::WatchOptions source_options(const config::Operator& setup) {
+// If the platform's change log is the only source, it is polled every 100 ms, so its events arrive soon.
+endpoints::WatchOptions watch_options(const config::Operator& setup) {
     endpoints::WatchOptions options;
     if (setup.discovery) {
         options.first_wait = setup.discovery->first_wait;
@@ -42,13 +44,13 @@
         options.jitter = setup.discovery->jitter;
         options.follow = setup.discovery->follow;
     }
-    // Only where the list's age counts, or purges must be surely known, must a source show that it is not
-    // behind.
+    // A source must prove that it is not behind only if the list's age matters or purges must be known for
+    // certain.
     options.require_proof = setup.discovery || setup.endpoint_snapshot || setup.recovery;
     return options;
 }
 
-std::vector<std::string> change_logs(const config::Config& config, const config::Operator& setup) {
+std::vector<std::string> change_log_addresses(const config::Config& config, const config::Operator& setup) {
     if (setup.discovery && !setup.discovery->sources.empty()) return setup.discovery->sources;
     if (config.changelog.empty()) return {};
     return {config.changelog};
@@ -61,82 +63,85 @@
                                  const config::Operator& setup)
     : loop_(loop), core_(core), pool_(pool), config_(config), view_(view_options(config, setup)) {
     if (setup.endpoint_snapshot) {
-        start_keeping(*setup.endpoint_snapshot);
-        // How old the configuration is nobody knows: what it tells is a seed list.
+        start_snapshots(*setup.endpoint_snapshot);
+        // The age of the configuration is unknown, so its endpoints are only a seed list.
         for (const config::WatchEvent& change : config.known) {
             if (change.has_endpoints) seed(change);
             if (!change.has_purge) continue;
             config::WatchEvent purge = change;
             purge.has_endpoints = false;
-            hear(purge, -1);
+            on_watch_event(purge, -1);
         }
     } else {
-        for (const config::WatchEvent& change : config.known) hear(change, -1);
+        for (const config::WatchEvent& change : config.known) on_watch_event(change, -1);
     }
     publish();
     core_.process_events();
-    const auto addresses = change_logs(config, setup);
+    const auto addresses = change_log_addresses(config, setup);
     if (addresses.empty()) return;
-    const std::int64_t behind = setup.endpoint_snapshot ? view_.resume_after() : config.known_seq;
+    const std::int64_t resume_after = setup.endpoint_snapshot ? view_.resume_after() : config.known_seq;
     watch_ = std::make_unique<discovery::DiscoveryWatch>(
-        loop_, sockets, addresses, config.site, behind, source_options(setup), config.seed,
-        [this](const config::WatchEvent& change, int log) {
-            hear(change, log);
+        loop_, sockets, addresses, config.site, resume_after, watch_options(setup), config.seed,
+        [this](const config::WatchEvent& change, int log_index) {
+            on_watch_event(change, log_index);
             publish();
         },
-        [this] { is_confirmed(); });
+        [this] { on_list_confirmed(); });
 }
 
-void EndpointManager::start_keeping(const config::EndpointSnapshot& list) {
-    site_ = list.site;
+void EndpointManager::start_snapshots(const config::EndpointSnapshot& settings) {
+    site_ = settings.site;
     const endpoints::NameTables names{config_.site.zones, config_.site.kinds};
-    loading_.emplace(list.folder, names, site_, loop_.clock().unix_now());
-    const endpoint_snapshot::WriteSchedule pace{.save_every = list.save_every, .refresh = list.refresh};
+    loading_.emplace(settings.folder, names, site_, loop_.clock().unix_now());
+    const endpoint_snapshot::WriteSchedule schedule{.save_every = settings.save_every,
+                                                    .refresh = settings.refresh};
     snapshot_writer_ = std::make_unique<endpoint_snapshot::SnapshotWriter>(
-        loop_, list.folder, names, pace,
+        loop_, settings.folder, names, schedule,
         [this] { return view_.snapshot(site_, loop_.clock().unix_now(), loop_.clock().now()); });
     core_.on_endpoint_response(
         [this](const std::string& target) { view_.on_response(target, loop_.clock().now()); });
-    if (auto found = loading_->take(kWaitForList)) return take_found(std::move(*found));
-    log::warn("saved list: {} takes long to read, going on without for now", list.folder);
-    look_for_found();
+    if (auto loaded = loading_->take(kSnapshotLoadTimeout)) return load_snapshot(std::move(*loaded));
+    log::warn("endpoint_snapshot: read is slow folder={}; starting without a snapshot for now",
+              settings.folder);
+    poll_snapshot_loader();
 }
 
-void EndpointManager::look_for_found() {
-    loop_.timers().schedule(loop_.clock().now() + kLookForList, [this] {
-        auto found = loading_->take(std::chrono::milliseconds(0));
-        if (!found) return look_for_found();
-        take_found(std::move(*found));
+void EndpointManager::poll_snapshot_loader() {
+    loop_.timers().schedule(loop_.clock().now() + kSnapshotPollInterval, [this] {
+        auto loaded = loading_->take(std::chrono::milliseconds(0));
+        if (!loaded) return poll_snapshot_loader();
+        load_snapshot(std::move(*loaded));
         if (watch_) watch_->skip_through(view_.resume_after());
         publish();
         core_.process_events();
     });
 }
 
-void EndpointManager::take_found(endpoint_snapshot::LoadedSnapshot found) {
+void EndpointManager::load_snapshot(endpoint_snapshot::LoadedSnapshot loaded) {
     const Micros now = loop_.clock().now();
     const base::UnixTime wall = loop_.clock().unix_now();
-    for (const endpoint_snapshot::SkippedFile& passed : found.skipped)
-        log::warn("saved list: {} passed over, {}: {}", passed.file, name_of(passed.fault.code),
-                  passed.fault.text);
-    if (found.snapshot) {
-        view_.load(*found.snapshot, wall, now);
+    for (const endpoint_snapshot::SkippedFile& skipped : loaded.skipped)
+        log::warn("endpoint_snapshot: file skipped file={} reason={} detail={}", skipped.file,
+                  name_of(skipped.fault.code), skipped.fault.text);
+    if (loaded.snapshot) {
+        view_.load(*loaded.snapshot, wall, now);
         using endpoints::Trust;
-        const Micros age = endpoints::age_of(*found.snapshot, wall);
+        const Micros age = endpoints::age_of(*loaded.snapshot, wall);
         log::info(
-            "saved list: {} taken, {} ms old, {} in full, {} with care, {} not used, {} of other settings",
-            found.file, age < 0 ? -1 : age / 1000, view_.count(Trust::full, now),
-            view_.count(Trust::unverified, now), view_.count(Trust::none, now), found.left_out);
+            "endpoint_snapshot: loaded file={} age_ms={} full={} unverified={} unused={} "
+            "of_other_settings={}",
+            loaded.file, age < 0 ? -1 : age / 1000, view_.count(Trust::full, now),
+            view_.count(Trust::unverified, now), view_.count(Trust::none, now), loaded.left_out);
     } else {
-        log::warn("saved list: none that can be used");
+        log::warn("endpoint_snapshot: no usable file found");
     }
-    // What was heard as gone, and purges, bind whatever the clock says.
-    for (const endpoints::Snapshot& warnings : found.warnings) view_.load_warnings(warnings, now);
-    for (const endpoints::Purge& purge : view_.purges()) tell_purge(purge);
-    lock_ = std::move(found.lock);
+    // Removals and purges apply regardless of what the clock says.
+    for (const endpoints::Snapshot& warnings : loaded.warnings) view_.load_warnings(warnings, now);
+    for (const endpoints::Purge& purge : view_.purges()) notify_purge(purge);
+    lock_ = std::move(loaded.lock);
     if (lock_ && !lock_->error().empty())
-        return log::error("saved list: not kept by this program: {}", lock_->error());
-    snapshot_writer_->start_after(found.generation, found.good_generation);
+        return log::error("endpoint_snapshot: not written by this process reason={}", lock_->error());
+    snapshot_writer_->start_after(loaded.generation, loaded.good_generation);
 }
 
 void EndpointManager::update_config(const config::Config& config, const config::Operator& setup) {
@@ -144,90 +149,93 @@
         if (setup.endpoint_snapshot && change.has_endpoints) seed(change);
         if (!setup.endpoint_snapshot && watch_) watch_->apply(change);
     }
-    const auto addresses = change_logs(config, setup);
+    const auto addresses = change_log_addresses(config, setup);
     if (watch_ && !addresses.empty()) watch_->set_addresses(addresses);
     publish();
 }
 
-// Danger: told again, a start must be the same moment to the microsecond, or the module would take it for
-// another one and begin the slow start anew. So each is read once, by the clock as it stands then.
-void EndpointManager::date_starts(config::WatchEvent& change) {
-    if (starts_.size() > kMostStarts) starts_.clear();
-    for (config::LocatedEndpoint& placed : change.endpoints) {
-        routing::Endpoint& entry = placed.endpoint;
-        if (entry.started_at <= 0) continue;
-        const base::UnixTime reported{entry.started_at};
-        Start& start = starts_[entry.name];
+// A start time that is reported again must convert to the same moment to the microsecond: otherwise the
+// router would take it for another start and begin the slow start again. So each is converted only once, by
+// the clock at that time.
+void EndpointManager::convert_start_times(config::WatchEvent& change) {
+    if (start_times_.size() > kMaxStartTimes) start_times_.clear();
+    for (config::LocatedEndpoint& located : change.endpoints) {
+        routing::Endpoint& endpoint = located.endpoint;
+        if (endpoint.started_at <= 0) continue;
+        const base::UnixTime reported{endpoint.started_at};
+        StartTime& start = start_times_[endpoint.name];
         if (start.reported_at != reported) start = {reported, loop_.clock().from_unix(reported)};
-        entry.started_at = start.moment;
+        endpoint.started_at = start.moment;
     }
 }
 
 void EndpointManager::seed(config::WatchEvent list) {
-    date_starts(list);
+    convert_start_times(list);
     view_.seed(list, loop_.clock().now());
 }
 
-void EndpointManager::hear(const config::WatchEvent& reported, int log) {
+void EndpointManager::on_watch_event(const config::WatchEvent& reported, int log_index) {
     const Micros now = loop_.clock().now();
     config::WatchEvent change = reported;
-    // Danger: the time of a purge is the origin's clock, and ours may have come back an hour ahead of it: the
-    // purge would seem long over. What a log tells that was sure a moment ago is no older than that moment.
-    date_starts(change);
+    // The time of a purge is taken from the origin's clock. The local clock may be an hour ahead of it after
+    // a restart, and the purge would seem long completed. An event from a change log that confirmed the list
+    // a moment ago is no older than that confirmation.
+    convert_start_times(change);
     if (change.has_purge) change.purged_at = loop_.clock().from_unix(change.purge_time);
-    if (change.has_purge && on_sure_ && view_.is_live())
-        change.purged_at = std::max(change.purged_at, now - view_.age(now) - kNotifiedWithin);
-    const endpoints::ApplyResult result = view_.apply(change, now, log);
+    if (change.has_purge && on_confirmed_ && view_.is_live())
+        change.purged_at = std::max(change.purged_at, now - view_.age(now) - kPurgeEventDelay);
+    const endpoints::ApplyResult result = view_.apply(change, now, log_index);
     if (result == endpoints::ApplyResult::deferred)
         log::warn("endpoints: list without cache servers deferred sequence={} known={}", change.sequence,
                   view_.size());
     if (result == endpoints::ApplyResult::full)
-        log::error("list {} names more members than there is room for, the new ones are left out",
-                   change.sequence);
+        log::error("endpoints: list too long, new endpoints ignored sequence={}", change.sequence);
     log::debug(
         "endpoints: received sequence={} log={} fleet={} entries={} purge={} object={} group={} ago_us={}",
-        change.sequence, log, change.has_endpoints, change.endpoints.size(), change.has_purge, change.object,
-        change.purge_group, change.has_purge ? now - change.purged_at : 0);
-    if (change.has_purge) tell_purge({change.object, change.purge_group, change.purged_at});
+        change.sequence, log_index, change.has_endpoints, change.endpoints.size(), change.has_purge,
+        change.object, change.purge_group, change.has_purge ? now - change.purged_at : 0);
+    if (change.has_purge) notify_purge({change.object, change.purge_group, change.purged_at});
     if (snapshot_writer_ && result != endpoints::ApplyResult::outdated) snapshot_writer_->on_changed();
 }
 
-void EndpointManager::is_confirmed() {
+void EndpointManager::on_list_confirmed() {
     const bool first = !view_.is_live();
     view_.confirm(loop_.clock().now());
-    if (on_sure_) on_sure_();
+    if (on_confirmed_) on_confirmed_();
     if (snapshot_writer_) first ? snapshot_writer_->on_changed() : snapshot_writer_->on_confirmed();
     if (!first) return;
-    if (snapshot_writer_) log::info("list confirmed by a change log, {} members", view_.size());
+    if (snapshot_writer_) log::info("endpoints: list confirmed by a change log entries={}", view_.size());
     publish();
     core_.process_events();
 }
 
-// What the view lets the module use goes to the module, and where it is to the pool; again when time alone
-// changes it.
+// Passes changes of the usable endpoints to the router and their addresses to the connection pool. Runs again
+// at the time at which the view changes by the passage of time alone.
 void EndpointManager::publish() {
     const Micros now = loop_.clock().now();
-    const bool doubted = view_.has_deferred_update();
+    const bool was_deferred = view_.has_deferred_update();
     view_.advance(now);
-    if (doubted && !view_.has_deferred_update()) log::warn("endpoints: list without cache servers applied");
-    routing::EndpointUpdate news;
-    news.version = view_.last_sequence();
-    news.kind = routing::EndpointUpdateKind::incremental;
-    for (config::LocatedEndpoint placed : view_.take_changes(now)) {
-        if (placed.endpoint.state == EndpointState::ready && bans_.contains(placed.endpoint.name))
-            placed.endpoint.state = EndpointState::draining;
-        if (cold_since_ > 0 && placed.endpoint.kind != config_.site.settings.origin_kind)
-            placed.endpoint.started_at = std::max(placed.endpoint.started_at, cold_since_);
-        if (placed.endpoint.state == EndpointState::removed)
-            pool_.retire(placed.endpoint.name);
-        else if (!placed.address.empty())
-            pool_.set_address(placed.endpoint.name, placed.address);
-        const routing::Endpoint& e = placed.endpoint;
-        log::debug("member id={} zone={} kind={} weight={:.2f} state={} since_us={}", e.name, e.zone, e.kind,
-                   e.weight, static_cast<int>(e.state), e.started_at);
-        news.endpoints.push_back(placed.endpoint);
+    if (was_deferred && !view_.has_deferred_update())
+        log::warn("endpoints: list without cache servers applied");
+    routing::EndpointUpdate update;
+    update.version = view_.last_sequence();
+    update.kind = routing::EndpointUpdateKind::incremental;
+    for (config::LocatedEndpoint located : view_.take_changes(now)) {
+        if (located.endpoint.state == EndpointState::ready && bans_.contains(located.endpoint.name))
+            located.endpoint.state = EndpointState::draining;
+        if (cold_since_ > 0 && located.endpoint.kind != config_.site.settings.origin_kind)
+            located.endpoint.started_at = std::max(located.endpoint.started_at, cold_since_);
+        if (located.endpoint.state == EndpointState::removed)
+            pool_.retire(located.endpoint.name);
+        else if (!located.address.empty())
+            pool_.set_address(located.endpoint.name, located.address);
+        const routing::Endpoint& endpoint = located.endpoint;
+        log::debug("endpoints: update id={} zone={} kind={} weight={:.2f} state={} since_us={}",
+                   endpoint.name, endpoint.zone, endpoint.kind, endpoint.weight,
+                   static_cast<int>(endpoint.state), endpoint.started_at);
+        update.endpoints.push_back(located.endpoint);
     }
-    if (!news.endpoints.empty()) core_.notify(std::move(news));
+    if (!update.endpoints.empty()) core_.notify(std::move(update));
     if (next_publish_) loop_.timers().cancel(*next_publish_);
     next_publish_.reset();
     if (const auto due = view_.next_deadline(now))
@@ -238,7 +246,7 @@
         });
 }
 
-void EndpointManager::tell_purge(const endpoints::Purge& purge) {
+void EndpointManager::notify_purge(const endpoints::Purge& purge) {
     core_.notify(routing::Purge{.purge_group = purge.purge_group,
                                 .age = std::max<Micros>(0, loop_.clock().now() - purge.at),
                                 .object = purge.object});
@@ -248,7 +256,7 @@
     const Micros now = loop_.clock().now();
     for (const endpoints::Purge& purge : purges) {
         view_.add_purge(purge, now);
-        tell_purge(purge);
+        notify_purge(purge);
     }
     if (snapshot_writer_ && !purges.empty()) snapshot_writer_->on_changed();
     core_.process_events();
@@ -262,7 +270,7 @@
 }
 
 bool EndpointManager::is_confirmed(Micros within) const {
-    if (!watch_) return true;  // the configuration alone tells
+    if (!watch_) return true;  // the configuration is the only source
     const Micros age = view_.age(loop_.clock().now());
     return view_.is_live() && age >= 0 && age <= within;
 }
--- a/src/daemon/endpoint_manager.h
+++ b/src/daemon/endpoint_manager.h
@@ -1,5 +1,5 @@
-// The fleet as the daemon lives with it: one view, fed by the configuration, the list on disk and the change
-// logs, whose changes go to the pool of connections and into the module; and the list kept on disk.
+// Maintains the endpoint view. It is fed by the configuration, the endpoint snapshot on disk and the change
+// logs; its changes go to the connection pool and the router. Also writes the endpoint snapshot.
 #pragma once
 
 #include <functional>
@@ -28,34 +28,35 @@
     EndpointManager& operator=(const EndpointManager&) = delete;
     ~EndpointManager() = default;
 
-    // The configuration was read anew: change logs may be elsewhere, and events may stand in it.
+    // Applies a reloaded configuration: the addresses of change logs may differ, and it may contain events.
     void update_config(const config::Config& config, const config::Operator& setup);
-    void write_last_snapshot();  // a last write, if there is something to write
+    void write_last_snapshot();  // writes changes not yet on disk, if there are any
     bool disk_busy() const { return snapshot_writer_ && snapshot_writer_->writing(); }
     const endpoints::EndpointView& view() const { return view_; }
-    // Taken out by the operators: told to the module as draining whatever the change log says, until lifted.
+    // Endpoints that operators took out of service: passed to the router as draining, whatever the change log
+    // reports, until they are no longer in the set.
     void set_bans(const std::set<std::string>& bans);
-    // Purges that another proxy told, with their ages.
+    // Purges learned from another proxy, with their ages.
     void add_purges(const std::vector<endpoints::Purge>& purges);
-    // Whoever started before now is taken to be cold since now.
+    // Treats every endpoint that started before now as cold since now.
     void mark_all_cold();
-    // The list was confirmed within the last `within`, or nobody is there to confirm it.
+    // Whether the list was confirmed within the last `within`; also true if there is no change log.
     bool is_confirmed(base::Micros within) const;
-    void on_confirmed(std::function<void()> what) { on_sure_ = std::move(what); }
+    void on_confirmed(std::function<void()> callback) { on_confirmed_ = std::move(callback); }
     bool is_known(const std::string& id) const { return view_.find(id) != nullptr; }
 
   private:
-    void start_keeping(const config::EndpointSnapshot& list);
-    void take_found(endpoint_snapshot::LoadedSnapshot found);
-    void look_for_found();
-    void hear(const config::WatchEvent& change, int log);
-    void tell_purge(const endpoints::Purge& purge);
-    void is_confirmed();
+    void start_snapshots(const config::EndpointSnapshot& settings);
+    void load_snapshot(endpoint_snapshot::LoadedSnapshot loaded);
+    void poll_snapshot_loader();
+    void on_watch_event(const config::WatchEvent& change, int log_index);
+    void notify_purge(const endpoints::Purge& purge);
+    void on_list_confirmed();
     void publish();
-    void date_starts(config::WatchEvent& change);
+    void convert_start_times(config::WatchEvent& change);
     void seed(config::WatchEvent list);
 
-    struct Start {
+    struct StartTime {
         base::UnixTime reported_at;
         base::Micros moment = 0;
     };
@@ -72,9 +73,9 @@
     std::unique_ptr<discovery::DiscoveryWatch> watch_;
     std::optional<base::TimerQueue::Key> next_publish_;
     std::set<std::string> bans_;
-    std::map<std::string, Start> starts_;  // by member
-    base::Micros cold_since_ = 0;          // 0: nobody is taken to be cold
-    std::function<void()> on_sure_;
+    std::map<std::string, StartTime> start_times_;  // by endpoint
+    base::Micros cold_since_ = 0;                   // 0: no endpoint is treated as cold
+    std::function<void()> on_confirmed_;
 };
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/handover_directory.cpp
+++ b/src/daemon/handover_directory.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-// A record of the most items that one may have takes less.
+// A record with the maximum number of items is smaller.
 constexpr std::size_t kMaxFileBytes = 8 << 20;
-// Processes of one proxy that live at one time, and those whose files nobody has removed yet.
+// Concurrent processes of one proxy, and ended ones whose files are not removed yet.
 constexpr std::size_t kMaxWriters = 64;
 constexpr std::size_t kWriterDigits = 16;
-constexpr int kMaxReadings = 8;  // of a directory that changes meanwhile
-// The file system dates changes by a coarse clock: two of one tick look like one.
+constexpr int kMaxReadings = 8;  // of a directory that changes during the reading
+// The file system's timestamps have a coarse resolution: two changes within one tick look like one.
 constexpr std::int64_t kClockTick = 50'000;  // us
 constexpr std::int64_t kNanosPerSecond = 1'000'000'000;
 constexpr const char* kLockSuffix = ".lock";
@@ -40,7 +40,7 @@
     return status.st_mtim.tv_sec * kNanosPerSecond + status.st_mtim.tv_nsec;
 }
 
-// The writer whose file, lock or unfinished file has that name; empty: of none.
+// The writer that a file, lock file or unfinished file of this name belongs to; empty: none.
 std::string writer_of(const std::string& name) {
     const std::string writer = name.substr(0, kWriterDigits);
     const std::string suffix = name.substr(writer.size());
@@ -90,8 +90,8 @@
     return base::replace_file(directory_, own_name_ + kUnfinishedSuffix, own_name_, text);
 }
 
-// Before the first write, so that a file without a lock that is held is of a process that has ended. Between
-// opening and locking it the lock file may be removed as left behind.
+// Called before the first write, so that a file whose lock is not held belongs to an ended process. Another
+// process may remove the lock file as left over between opening and locking it here.
 std::string HandoverDirectory::lock_own() {
     if (lock_ >= 0) return {};
     std::error_code ignored;
@@ -111,7 +111,8 @@
     return {};
 }
 
-// Under the lock, which goes last: a process that has only begun to take it finds it gone, and makes another.
+// Holds the lock while removing and removes the lock file last: a process that is just acquiring it finds it
+// removed and creates another one.
 void HandoverDirectory::remove_ended(const std::vector<std::string>& writers) const {
     for (const std::string& writer : writers) {
         const std::string path = directory_ + '/' + writer;
@@ -151,8 +152,8 @@
     return changed;
 }
 
-// A directory that changes while it is listed may hide a file that is replaced and one that takes over its
-// content: only what stood still counts.
+// If the directory changes while it is listed, both a replaced file and the one that takes over its content
+// may be missed. So a reading counts only if the listings before and after it are equal.
 std::string HandoverDirectory::read_others(const HandoverPass& pass, HandoverScan& scan) {
     for (int reading = 0; reading < kMaxReadings; ++reading) {
         scan.records.clear();
--- a/src/daemon/handover_directory.h
+++ b/src/daemon/handover_directory.h
@@ -1,9 +1,9 @@
-// The files by which the processes of one proxy hand the operators' calls over: beside the path of the legacy
-// file a directory PATH.d with a file for each process, which that process alone writes, and which is locked
-// for as long as it lives. Whoever has merged the file of a process that has ended removes it.
+// The files through which the processes of one proxy hand over operators' calls. Beside the legacy file PATH
+// there is a directory PATH.d with one file per process, which only that process writes and which stays
+// locked while the process lives. A process that has merged the file of an ended process removes it.
 //
-// Every file is replaced as a whole and synced: a reader finds the old or the new content. All calls block on
-// the disk; one thread at a time makes them.
+// Every file is replaced atomically and synced: a reader finds the old or the new content. All calls block on
+// the disk and are made by one thread at a time.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +15,20 @@
 
 namespace sumackeel::daemon {
 
-// What is to be done in one pass, in this order.
+// The steps of one pass, in this order.
 struct HandoverPass {
     std::string own_text;                    // empty: the own file stays as it is
     std::vector<std::string> ended_writers;  // their files were merged into the own text
-    std::string legacy_text;  // empty: the legacy file stays as it is; else it is written if nobody else did
-    bool read_always = true;  // else only where something may have changed since the last pass
+    std::string
+        legacy_text;  // empty: the legacy file stays as it is; else written unless another process did
+    bool read_always = true;       // else only if something may have changed since the last pass
     bool skip_unreadable = false;  // a file that can't be read counts as empty
 };
 
-// What the pass has found.
+// The result of a pass.
 struct HandoverScan {
-    std::string error;            // empty: all was done
-    bool legacy_written = false;  // else it was changed by another process
+    std::string error;            // empty: the pass succeeded
+    bool legacy_written = false;  // false also if another process changed it
     bool was_read = false;        // the files of the others are below
     std::int64_t read_at = 0;     // when reading began, steady clock in microseconds
     std::vector<admin::HandoverRecord> records;
@@ -38,7 +39,7 @@
 
 class HandoverDirectory {
   public:
-    // `writer`: of this process; no other one has it.
+    // `writer`: the number of this process; no other process has it.
     HandoverDirectory(std::string legacy_path, std::uint64_t writer);
     ~HandoverDirectory();
     HandoverDirectory(const HandoverDirectory&) = delete;
@@ -48,7 +49,7 @@
     std::string own_path() const { return directory_ + '/' + own_name_; }
 
   private:
-    // Changes whenever a file is put in place or taken away.
+    // Changes whenever a file is replaced or removed.
     struct Signature {
         std::int64_t directory_changed_ns = 0;
         std::int64_t legacy_changed_ns = 0;
@@ -63,7 +64,7 @@
     std::string write_legacy(const std::string& text) const;
     Signature signature() const;
     bool may_have_changed();
-    // Of all processes that have a file here, this one left out. Empty: done, else what is wrong.
+    // Lists all processes that have a file here, except this one. Returns an error text; empty: success.
     std::string list(std::set<std::string>& writers) const;
     std::string read_others(const HandoverPass& pass, HandoverScan& scan);
     std::string read_writers(const std::set<std::string>& writers, const HandoverPass& pass,
@@ -79,7 +80,7 @@
     int lock_ = -1;
     Signature last_signature_;
     std::int64_t signature_seen_at_ = 0;  // steady clock in microseconds
-    bool settled_ = false;                // the files were read well behind their last change
+    bool settled_ = false;                // the files were read well after their last change
     std::set<std::string> reported_;      // files that were ignored, for one log line each
 };
 
--- a/src/daemon/lease_controller.cpp
+++ b/src/daemon/lease_controller.cpp
@@ -87,7 +87,7 @@
     return_own_lease();
 }
 
-// A lease of this proxy that serves again, or that was replaced by a process that does, has no other owner.
+// If this proxy serves again, or a process that serves has replaced it, nobody else returns its lease.
 void LeaseController::return_own_lease() {
     Components& parts = components_;
     const std::string& name =
@@ -107,12 +107,12 @@
 }
 
 bool LeaseController::handle_lease_call(const admin::ApiCall& call,
-                                        const admin_server::DeferredReply& later) {
+                                        const admin_server::DeferredReply& respond_later) {
     using Action = admin::ParsedPath::Action;
     const admin::ParsedPath parsed = admin::parse_path(call.path.substr(0, call.path.find('?')));
     if (call.method != "POST" || parsed.action == Action::other) return false;
     const bool is_drain = parsed.action == Action::drain_start || parsed.action == Action::drain_stop;
-    // An endpoint that nobody knows is rejected where calls without leases are.
+    // An unknown endpoint is rejected by the handler for calls that need no lease.
     if (!is_drain && (!admin::is_valid_id(parsed.id) || !components_.endpoint_manager->is_known(parsed.id)))
         return false;
     const std::string self = components_.cluster_transport->membership().self().name;
@@ -123,23 +123,23 @@
         .forced = call.path.ends_with("?force=1"),
     };
     if (parsed.action == Action::down || parsed.action == Action::drain_start)
-        request_lease(lease_call, later);
+        request_lease(lease_call, respond_later);
     else
-        return_lease(lease_call, later);
+        return_lease(lease_call, respond_later);
     return true;
 }
 
-void LeaseController::request_lease(const LeaseCall& call, const admin_server::DeferredReply& later) {
+void LeaseController::request_lease(const LeaseCall& call, const admin_server::DeferredReply& respond_later) {
     if (call.target.kind == rollout::MemberKind::proxy) drain_wanted_ = true;
     components_.consensus_client->request_lease(
         call.target.kind, call.target.member, call.requested_by, call.forced,
-        [this, later, target = call.target,
+        [this, respond_later, target = call.target,
          called_at = components_.loop.clock().now()](const std::optional<rollout::CommandResult>& result) {
-            reply_when_durable(on_lease_result(result, target), later, called_at);
+            reply_when_durable(on_lease_result(result, target), respond_later, called_at);
         });
 }
 
-void LeaseController::return_lease(const LeaseCall& call, const admin_server::DeferredReply& later) {
+void LeaseController::return_lease(const LeaseCall& call, const admin_server::DeferredReply& respond_later) {
     Components& parts = components_;
     const auto& [kind, member] = call.target;
     if (kind == rollout::MemberKind::proxy) {
@@ -151,11 +151,11 @@
     }
     parts.consensus_client->return_lease(
         kind, member, call.requested_by,
-        [this, &parts, later, target = call.target,
+        [this, &parts, respond_later, target = call.target,
          called_at = parts.loop.clock().now()](const std::optional<rollout::CommandResult>& result) {
-            if (!result) return later(no_majority_reply());
+            if (!result) return respond_later(no_majority_reply());
             if (target.kind == rollout::MemberKind::pop_cache) parts.granted_leases.erase(target.member);
-            reply_when_durable({200, "up " + target.member + "\n", false}, later, called_at);
+            reply_when_durable({200, "up " + target.member + "\n", false}, respond_later, called_at);
         });
 }
 
@@ -182,8 +182,8 @@
     return lease_reply(result, target.member);
 }
 
-// In force at once, and on disk before the call is answered: this proxy may be the only one of those told
-// that returns after a loss of power.
+// Applied at once, and written to disk before the call is answered: of the proxies that know of the lease
+// this one may be the only one that returns after a loss of power.
 void LeaseController::on_pop_cache_granted(const std::string& id, std::uint64_t number) {
     Components& parts = components_;
     if (number > parts.consensus_client->state().last_number() &&
@@ -192,16 +192,16 @@
     applier_.on_state_changed();
 }
 
-void LeaseController::reply_when_durable(admin::ApiReply reply, const admin_server::DeferredReply& later,
-                                         Micros called_at) {
-    if (reply.status != 200) return later(reply);
+void LeaseController::reply_when_durable(admin::ApiReply reply,
+                                         const admin_server::DeferredReply& respond_later, Micros called_at) {
+    if (reply.status != 200) return respond_later(reply);
     const Micros wait = called_at + kReplyTimeout - components_.loop.clock().now();
-    if (auto at_once = components_.durable_replies.reply_when_durable(std::move(reply), later, wait))
-        later(*at_once);
+    if (auto at_once = components_.durable_replies.reply_when_durable(std::move(reply), respond_later, wait))
+        respond_later(*at_once);
 }
 
 std::optional<admin::ApiReply> LeaseController::handle_release_call(
-    const admin::ApiCall& call, const admin_server::DeferredReply& later) {
+    const admin::ApiCall& call, const admin_server::DeferredReply& respond_later) {
     Components& parts = components_;
     if (call.path == "/ops/release" && call.method == "GET")
         return admin::ApiReply{200, parts.release_coordinator->as_json(), false};
@@ -210,11 +210,11 @@
     for (const rollout::FleetMember& proxy : parts.budget_view->proxies(membership, false))
         proxies.push_back(proxy.name);
     std::sort(proxies.begin(), proxies.end());
-    return daemon::handle_release_call(*parts.consensus_client, call, later, proxies, membership.self().name,
-                                       [this] { on_upgrade_lease_granted(); });
+    return daemon::handle_release_call(*parts.consensus_client, call, respond_later, proxies,
+                                       membership.self().name, [this] { on_upgrade_lease_granted(); });
 }
 
-// At once: the replicated log's own notification comes later.
+// Does not wait for the state change of the replicated log, which arrives later.
 void LeaseController::on_upgrade_lease_granted() {
     if (std::exchange(drain_wanted_, true)) return;
     components_.admin_state.start_drain();
--- a/src/daemon/lease_controller.h
+++ b/src/daemon/lease_controller.h
@@ -18,7 +18,7 @@
     LeaseController(Components& components, AdminStateApplier& applier)
         : components_(components), applier_(applier) {}
 
-    // Makes the consensus client and the release coordinator.
+    // Creates the consensus client and the release coordinator.
     void start(const config::Consensus& settings);
 
     // The administrative state was taken over from another process: its drain is this process's own request.
@@ -27,11 +27,11 @@
     // that is no longer needed is returned.
     void follow_own_lease();
 
-    // Whether a call is one for leases; then its reply comes by `later`. Requests and returns leases.
-    bool handle_lease_call(const admin::ApiCall& call, const admin_server::DeferredReply& later);
-    // Calls under /ops/release. No value: the reply comes by `later`.
+    // Whether a call is one for leases; then its reply comes by `respond_later`. Requests and returns leases.
+    bool handle_lease_call(const admin::ApiCall& call, const admin_server::DeferredReply& respond_later);
+    // Calls under /ops/release. No value: the reply comes by `respond_later`.
     std::optional<admin::ApiReply> handle_release_call(const admin::ApiCall& call,
-                                                       const admin_server::DeferredReply& later);
+                                                       const admin_server::DeferredReply& respond_later);
 
   private:
     // What a lease is requested or returned for.
@@ -39,19 +39,19 @@
         rollout::MemberKind kind;
         std::string member;
     };
-    // How a lease call leaves the admin API: whom it is for and by whom, and whether rules are bypassed.
+    // A lease call of the admin API: its target, the caller, and whether rules are bypassed.
     struct LeaseCall {
         Target target;
         std::string requested_by;
         bool forced = false;
     };
 
-    void request_lease(const LeaseCall& call, const admin_server::DeferredReply& later);
-    void return_lease(const LeaseCall& call, const admin_server::DeferredReply& later);
+    void request_lease(const LeaseCall& call, const admin_server::DeferredReply& respond_later);
+    void return_lease(const LeaseCall& call, const admin_server::DeferredReply& respond_later);
     admin::ApiReply on_lease_result(const std::optional<rollout::CommandResult>& result,
                                     const Target& target);
     void on_pop_cache_granted(const std::string& id, std::uint64_t number);
-    void reply_when_durable(admin::ApiReply reply, const admin_server::DeferredReply& later,
+    void reply_when_durable(admin::ApiReply reply, const admin_server::DeferredReply& respond_later,
                             base::Micros called_at);
     void on_upgrade_lease_granted();
     void return_own_lease();
@@ -62,7 +62,7 @@
     bool drain_wanted_ = false;        // a drain of this proxy was requested, and is granted or may yet be
     bool return_in_progress_ = false;  // of this proxy's own lease
     // The number of the upgrade lease whose drain was stopped by an operator, or by the process that replaces
-    // this one; it drains this proxy no more.
+    // this one; it no longer drains this proxy.
     std::uint64_t stopped_lease_ = 0;
 };
 
--- a/src/daemon/recovery_controller.cpp
+++ b/src/daemon/recovery_controller.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Purges are known for sure where the endpoint list was confirmed within this; its sources speak each second.
+// All purges are known if the endpoint list was confirmed within this time; its sources report every second.
 constexpr Micros kConfirmedWithin = 3'000'000;
 constexpr Micros kCheckInterval = 200'000;
 
@@ -67,7 +67,7 @@
     return recent;
 }
 
-// Where the replicated log is known it alone counts.
+// Once the replicated log is known, only its leases count.
 void RecoveryController::on_leases_learned() {
     Components& parts = components_;
     if (parts.consensus_client && !parts.consensus_client->is_known()) return applier_.apply();
@@ -83,13 +83,14 @@
     components_.endpoint_manager->add_purges(purges);
 }
 
-// While settling nobody serves: an endpoint that answers now was out with all the others, and is cold.
+// Entering the settling phase means that no proxy serves: an endpoint that answers now lost power with all
+// the others and is cold.
 void RecoveryController::on_phase_entered() {
     Components& parts = components_;
     if (parts.recovery && parts.recovery->phases().phase() == recovery::Phase::settling)
         parts.endpoint_manager->mark_all_cold();
     if (parts.admin_state.phase() != admin::ProcessPhase::starting) applier_.apply();
-    // The coordinator enters its first phase while it is made.
+    // The coordinator enters its first phase during its construction.
     if (parts.recovery) phase_entered_();
 }
 
@@ -107,7 +108,8 @@
     parts.recovery->on_request_finished(budget_key(request), fill_source);
 }
 
-// Before the fleet's bans are known no attempt may start at all: what needs no copy goes by a pop cache, too.
+// Until the fleet's bans are known no attempt may start at all: requests that need no copy also go through a
+// pop cache.
 std::optional<Micros> RecoveryController::admit(const core::Request& request) {
     Components& parts = components_;
     const auto& settings = parts.core.settings().classes[static_cast<std::size_t>(request.class_index)];
@@ -119,8 +121,8 @@
                                   .needs_copy = bans_unknown || !settings.uncacheable});
 }
 
-// What recovery waits for besides the other proxies: the endpoint list and a leader. What was persisted holds
-// until the replicated log is known, also where nothing has changed since.
+// Checks what recovery waits for besides the other proxies: the endpoint list and a leader. The persisted
+// state applies until the replicated log is known, even if nothing has changed since.
 void RecoveryController::check_prerequisites() {
     Components& parts = components_;
     if (parts.endpoint_manager->is_confirmed(kConfirmedWithin)) parts.recovery->on_endpoints_confirmed();
--- a/src/daemon/recovery_controller.h
+++ b/src/daemon/recovery_controller.h
@@ -1,5 +1,6 @@
-// Recovery after a loss of power, wired to the rest of the daemon: what it is told of purges, of the endpoint
-// list and of the leader, and what it admits. Off unless the operator's settings have [recovery].
+// Connects recovery after a loss of power to the rest of the daemon: passes it purges, the state of the
+// endpoint list and the leader, and asks it which requests to admit. Off unless the operator's settings have
+// [recovery].
 #pragma once
 
 #include <cstdint>
@@ -15,12 +16,12 @@
 
 class RecoveryController {
   public:
-    // Both must outlive this. `phase_entered` is called behind each change of the phase.
+    // Both must outlive this. `phase_entered` is called after each change of the phase.
     RecoveryController(Components& components, AdminStateApplier& applier,
                        std::function<void()> phase_entered)
         : components_(components), applier_(applier), phase_entered_(std::move(phase_entered)) {}
 
-    // Makes the coordinator. What one proxy has persisted binds from this moment on, ready or not.
+    // Creates the coordinator. The persisted state of this proxy applies from this moment on, ready or not.
     void start(const config::Recovery& settings);
 
   private:
--- a/src/daemon/shutdown_controller.cpp
+++ b/src/daemon/shutdown_controller.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// After SIGTERM connections still come for 0.4 s and requests for a further 0.2 s. Where the socket was
+// After SIGTERM connections still arrive for 0.4 s and requests for a further 0.2 s. If the socket was
 // inherited, the process that replaces this one accepts them on it, and is ready before SIGTERM.
 constexpr Micros kKeepAcceptingFor = 1'000'000;
 // A client connected just before the listener closed sends its request within this.
@@ -23,7 +23,7 @@
     Components& parts = components_;
     started_at_ = parts.loop.clock().now();
     parts.admin_state.on_shutdown();
-    parts.handover.cancel_take();
+    parts.handover.cancel_take_over();
     applier_.apply();
     deadlines_ = shutdown_deadlines(parts.core.settings());
     parts.core.set_shutdown_deadline(started_at_ + deadlines_.final_responses);
@@ -34,7 +34,7 @@
     log::info("shutdown: started open_requests={}", parts.core.open_requests());
     if (parts.signed_url_server) parts.signed_url_server->shut_down(exit_at);
     if (parts.consensus_client) parts.consensus_client->close();
-    // Where the socket was inherited another process goes on under this member's name: it does not leave.
+    // If the socket was inherited, another process continues under this member's name, so it does not leave.
     if (parts.cluster_transport) {
         if (parts.has_inherited_socket())
             parts.cluster_transport->go_silent();
@@ -53,8 +53,8 @@
     const bool accepting_ended = elapsed >= accept_for;
     if (accepting_ended) stop_listening();
     const bool finished = is_work_finished();
-    // Half a request may be completed at any moment, and bytes that were not read may be one. Closed now,
-    // its client would never get the response that it is owed while this process runs.
+    // A partial request may be completed at any moment, and unread bytes may contain one. If its connection
+    // were closed now, its client would never get the response that it is owed while this process runs.
     if (accepting_ended && finished && !has_pending_input() && elapsed >= accept_for + kFirstRequestTimeout)
         close_idle_connections();
     if ((accepting_ended && finished && !has_connections()) || elapsed > deadlines_.exit) {
@@ -74,7 +74,7 @@
     Components& parts = components_;
     return parts.core.open_requests() == 0 && !parts.platform_server.has_unsent_responses() &&
            !(parts.signed_url_server && parts.signed_url_server->has_unsent_responses()) &&
-           !parts.handover.has_unkept();
+           !parts.handover.has_unconfirmed_calls();
 }
 
 bool ShutdownController::has_pending_input() const {
--- a/src/daemon/shutdown_controller.h
+++ b/src/daemon/shutdown_controller.h
@@ -1,5 +1,5 @@
-// Graceful shutdown after SIGTERM: clients are drained, what is open is answered, and the loop stops once
-// nothing is left or the time is over.
+// Graceful shutdown after SIGTERM: drains clients, answers open requests, and stops the loop once no work is
+// left or the exit deadline has passed.
 #pragma once
 
 #include "daemon/admin_state_applier.h"
@@ -14,7 +14,7 @@
     ShutdownController(Components& components, AdminStateApplier& applier)
         : components_(components), applier_(applier) {}
 
-    // Begins to shut down; nothing where it has begun.
+    // Begins the shutdown. Does nothing if it has already begun.
     void start();
 
   private:
--- a/src/daemon/shutdown_deadline.h
+++ b/src/daemon/shutdown_deadline.h
@@ -1,4 +1,4 @@
-// How long a process has from SIGTERM to its end: a pure value, from the settings alone.
+// The deadlines of a shutdown, computed from the settings alone.
 #pragma once
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 
 using routing::Micros;
 
-// Spans from SIGTERM on.
+// Durations since SIGTERM.
 struct ShutdownDeadlines {
     Micros final_responses = 0;  // requests still open then are answered by the core itself
-    Micros exit = 0;             // the process ends, whatever is still connected
+    Micros exit = 0;             // the process ends even if connections are still open
 };
 
 // After SIGTERM the platform sends SIGKILL as early as the longest deadline of a class, counted as 3 s at
@@ -20,10 +20,10 @@
 inline ShutdownDeadlines shutdown_deadlines(const routing::Settings& settings) {
     constexpr Micros kMaxCountedDeadline = 3'000'000;
     constexpr Micros kKillDelay = 700'000;
-    // Where deadlines are long, the last writes need time behind the final responses.
+    // With long request deadlines, the last writes need time after the final responses.
     constexpr Micros kMaxFinalResponses = 2'900'000;
     constexpr Micros kMaxExit = 3'400'000;
-    // Where they are short, the requests that come last need their deadline in full.
+    // With short ones, the last requests need their full deadline.
     constexpr Micros kFinalResponsesBeforeKill = 200'000;
     constexpr Micros kExitBeforeKill = 100'000;
     Micros longest = 0;
--- a/src/daemon/startup_controller.cpp
+++ b/src/daemon/startup_controller.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr Micros kCheckInterval = 20'000;
-// The replicated log's state is waited for this long.
+// How long startup waits for the state of the replicated log.
 constexpr Micros kConsensusTimeout = 3'000'000;
-// The hand-over file is waited for this long, where the time above is over already.
+// How long startup waits for the handover files if the time above is already over.
 constexpr Micros kHandoverReadTimeout = 1'000'000;
 
 }  // namespace
@@ -44,7 +44,7 @@
     taking_over_ = true;
     Components& parts = components_;
     const Micros latest = std::max(deadline_, parts.loop.clock().now() + kHandoverReadTimeout);
-    parts.handover.take(latest, parts.has_inherited_socket());
+    parts.handover.take_over(latest, parts.has_inherited_socket());
 }
 
 void StartupController::on_state_taken_over() {
@@ -53,16 +53,16 @@
         log::warn("consensus: serving_unconfirmed reason=no voter answered");
     if (parts.recovery) {
         const recovery::PersistedState& persisted = parts.recovery->persisted();
-        // What was persisted may be older than what the process before this one was called for.
+        // The persisted state may be older than calls to the previous process.
         for (const std::string& id : persisted.bans) {
-            if (parts.handover.has_word_on_ban(id)) continue;
+            if (parts.handover.knows_ban(id)) continue;
             parts.admin_state.ban(id, true);
             parts.handover.add_ban(id);
         }
-        // With leases a single proxy that restarts gives its own back; after a loss of power nobody has said
-        // that it may serve again.
+        // With leases, a single proxy that restarts returns its own. After a loss of power of the whole
+        // cluster nobody has allowed it to serve again yet.
         const bool drain_holds = !parts.consensus_client || parts.recovery->phases().whole_cluster_was_down();
-        if (persisted.draining && drain_holds && !parts.handover.has_word_on_drain()) {
+        if (persisted.draining && drain_holds && !parts.handover.knows_drain()) {
             parts.admin_state.start_drain();
             parts.handover.add_drain();
         }
--- a/src/daemon/startup_controller.h
+++ b/src/daemon/startup_controller.h
@@ -1,5 +1,5 @@
-// Start-up: when this process takes over the administrative state of the one before it, and with that becomes
-// ready.
+// Startup: decides when this process takes over the administrative state of the previous one, and with that
+// becomes ready.
 #pragma once
 
 #include "daemon/admin_state_applier.h"
@@ -15,13 +15,13 @@
         : components_(components), applier_(applier), leases_(leases) {}
 
     // The process is ready once it listens, has read what was handed over, and knows the replicated log and
-    // with it the fleet's bans. It does not wait for ever: where no voter answers it serves by what it knows.
+    // with it the fleet's bans. The wait is bounded: if no voter answers, it serves by what it knows.
     void start();
-    // What start-up waits for may have come: where it has, this process takes over at once.
+    // Checks whether startup still has to wait; if not, this process takes over at once.
     void check();
-    // Start-up is given up, as the process shuts down.
+    // Cancels startup because the process shuts down.
     void cancel() { cancelled_ = true; }
-    // What was handed over is part of the administrative state now.
+    // The handed-over state is part of the administrative state now.
     void on_state_taken_over();
 
   private:
@@ -31,7 +31,7 @@
     Components& components_;
     AdminStateApplier& applier_;
     LeaseController& leases_;
-    base::Micros deadline_ = 0;  // the replicated log is waited for no longer
+    base::Micros deadline_ = 0;  // startup stops waiting for the replicated log
     bool started_ = false;
     bool taking_over_ = false;
     bool cancelled_ = false;
