--- a/src/daemon/admin_routes.cpp
+++ b/src/daemon/admin_routes.cpp
@@ -23,17 +23,17 @@
 }  // namespace
 
 std::optional<admin::ApiReply> AdminRoutes::handle_call(const admin::ApiCall& call,
-                                                        const admin_server::DeferredReply& later) {
+                                                        const admin_server::DeferredReply& respond_later) {
     Components& parts = components_;
     if (auto reply = handle_lease_query(call)) return reply;
     if (auto reply = handle_recovery_call(call)) return reply;
     if (parts.kv_store_service && (call.path == kPurgePath || call.path.starts_with(kPurgePrefix)))
-        return parts.kv_store_service->handle_call(call, later);
+        return parts.kv_store_service->handle_call(call, respond_later);
     if (parts.consensus_client && call.path.starts_with(kReleasePrefix))
-        return leases_.handle_release_call(call, later);
-    if (parts.consensus_client && leases_.handle_lease_call(call, later)) return std::nullopt;
+        return leases_.handle_release_call(call, respond_later);
+    if (parts.consensus_client && leases_.handle_lease_call(call, respond_later)) return std::nullopt;
     if (auto reply = handle_cluster_call(call)) return reply;
-    return handle_state_call(call, later);
+    return handle_state_call(call, respond_later);
 }
 
 std::optional<admin::ApiReply> AdminRoutes::handle_lease_query(const admin::ApiCall& call) const {
@@ -67,8 +67,8 @@
     return admin::ApiReply{200, "left\n", false};
 }
 
-std::optional<admin::ApiReply> AdminRoutes::handle_state_call(const admin::ApiCall& call,
-                                                              const admin_server::DeferredReply& later) {
+std::optional<admin::ApiReply> AdminRoutes::handle_state_call(
+    const admin::ApiCall& call, const admin_server::DeferredReply& respond_later) {
     Components& parts = components_;
     admin::ApiReply reply = admin::handle_call(
         parts.admin_state, call,
@@ -80,7 +80,7 @@
         applier_.on_drain_called();
     else
         applier_.on_ban_called(parsed.id);
-    return parts.durable_replies.reply_when_durable(std::move(reply), later);
+    return parts.durable_replies.reply_when_durable(std::move(reply), respond_later);
 }
 
 admin::Stats AdminRoutes::stats() const {
--- a/src/daemon/admin_routes.h
+++ b/src/daemon/admin_routes.h
@@ -1,4 +1,4 @@
-// Which part of the daemon answers a call of the admin API.
+// Routes each call of the admin API to the part of the daemon that answers it.
 #pragma once
 
 #include <optional>
@@ -17,16 +17,16 @@
     AdminRoutes(Components& components, AdminStateApplier& applier, LeaseController& leases)
         : components_(components), applier_(applier), leases_(leases) {}
 
-    // The reply to a call. No value: it comes by `later`, which is called exactly once.
+    // The reply to a call. No value: it comes by `respond_later`, which is called exactly once.
     std::optional<admin::ApiReply> handle_call(const admin::ApiCall& call,
-                                               const admin_server::DeferredReply& later);
+                                               const admin_server::DeferredReply& respond_later);
 
   private:
     std::optional<admin::ApiReply> handle_lease_query(const admin::ApiCall& call) const;
     std::optional<admin::ApiReply> handle_recovery_call(const admin::ApiCall& call);
     std::optional<admin::ApiReply> handle_cluster_call(const admin::ApiCall& call);
     std::optional<admin::ApiReply> handle_state_call(const admin::ApiCall& call,
-                                                     const admin_server::DeferredReply& later);
+                                                     const admin_server::DeferredReply& respond_later);
     admin::Stats stats() const;
 
     Components& components_;
--- a/src/daemon/admin_state_applier.cpp
+++ b/src/daemon/admin_state_applier.cpp
@@ -25,7 +25,7 @@
     parts.platform_server.set_draining(draining, parts.drain_schedule);
     parts.platform_server.set_ready(parts.admin_state.is_ready());
     if (parts.signed_url_server) parts.signed_url_server->set_draining(draining, parts.drain_schedule);
-    parts.drain_report->now(parts.drain_schedule);
+    parts.drain_report->update(parts.drain_schedule);
 }
 
 // Persisted leases apply until the replicated log is known again.
--- a/src/daemon/component_options.cpp
+++ b/src/daemon/component_options.cpp
@@ -38,8 +38,8 @@
                 static_cast<std::size_t>(config.memory_mb) * kBytesPerMegabyte / kUnsentMemoryDivisor};
 }
 
-// An attempt that waits for a connection is sent when that comes up, and the cache may have begun to drain
-// meanwhile. Within half of the drain grace it is still early enough for every cache.
+// An attempt that waits for a connection is sent once that is established, and the cache may have begun to
+// drain meanwhile. Within half of the drain grace it still arrives early enough at every cache.
 Micros upstream_connect_timeout(const routing::Settings& settings) {
     if (settings.drain_grace <= 0) return settings.connect_timeout;
     return std::min(settings.connect_timeout, settings.drain_grace / 2);
--- a/src/daemon/component_options.h
+++ b/src/daemon/component_options.h
@@ -19,7 +19,7 @@
 // Client connections and unsent response bytes that the platform's server may hold.
 platform_server::Limits platform_limits(const config::Config& config);
 
-// How long a connection to a cache may take to come up.
+// How long establishing a connection to a cache may take.
 routing::Micros upstream_connect_timeout(const routing::Settings& settings);
 
 // The router's settings: the platform's, with what the operator's settings add.
@@ -28,7 +28,7 @@
 // How many proxies each zone has by the configuration, by zone name. Zones without any are left out.
 std::map<std::string, int> configured_instances_by_zone(const config::Site& site);
 
-// The cluster's size as an event for the router. A zone that the site does not name counts in the sum alone.
+// The cluster's size as an event for the router. A zone that the site does not name counts only in the total.
 routing::ClusterSizeChanged cluster_size_event(const config::Site& site,
                                                const std::map<std::string, int>& instances_by_zone);
 
--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -29,9 +29,9 @@
                       net::ListenAddress(configuration.listen, configuration.inherited_fd),
                       platform_limits(configuration)),
       handover(loop, admin_state, files.hand_over, std::move(hooks.handover)),
-      durable_replies(loop, {.undecided = [this] { return is_write_undecided(); },
-                             .missing = [this] { return unwritten_reason(); },
-                             .silent_for = [this] { return write_running_for(); }}),
+      durable_replies(loop, {.outcome_unknown = [this] { return is_write_outcome_unknown(); },
+                             .unwritten_reason = [this] { return unwritten_reason(); },
+                             .write_running_for = [this] { return write_running_for(); }}),
       reload(loop, files, std::move(hooks.apply_config)) {
     core.attach(connection_pool);
     handover.on_pass_finished([this] { durable_replies.on_write_finished(); });
@@ -112,7 +112,7 @@
            (recovery && recovery->disk_busy()) || (consensus_client && consensus_client->is_disk_stuck());
 }
 
-bool Components::is_write_undecided() {
+bool Components::is_write_outcome_unknown() {
     return handover.outcome_unknown() || (recovery && recovery->writer().outcome_unknown());
 }
 
--- a/src/daemon/components.h
+++ b/src/daemon/components.h
@@ -32,38 +32,39 @@
 
 namespace sumackeel::daemon {
 
-// Owns the parts and knows their settings; what they do with each other is the controllers' work
+// Owns the parts and knows their settings; the controllers implement how the parts work together
 // (admin_state_applier, lease_controller, recovery_controller, startup_controller, shutdown_controller,
 // admin_routes).
 struct Components {
     struct Hooks {
         AdminStateHandover::Hooks handover;
-        Reload::TakeUp apply_config;
+        Reload::ApplyConfig apply_config;
     };
 
-    // Makes what every proxy has. The configuration must outlive this; `setup` is needed for the call only.
+    // Creates the parts that every proxy has. The configuration must outlive this; `setup` is needed for the
+    // call only.
     Components(const config::Config& configuration, const config::Operator& setup, Files files, Hooks hooks);
     Components(const Components&) = delete;
     Components& operator=(const Components&) = delete;
     ~Components() = default;
 
-    // Optional parts, made after the constructor in this order, where the operator's settings name them.
+    // Optional parts, created after the constructor in this order if the operator's settings contain them.
     void make_cluster_transport(config::Cluster settings);
     void make_kv_store_service(const config::Store& settings);
 
-    // Passes on what a new configuration may change in a running process. The router's settings, the listen
-    // addresses and the store hold until the next start.
+    // Applies what a new configuration may change in a running process. The router's settings, the listen
+    // addresses and the store's settings stay the same until the next start.
     void update_config(const config::Config& fresh, const config::Operator& setup);
 
-    // Takes back the callbacks that reach the controllers; called once, while those still exist. Open
+    // Removes the callbacks that refer to the controllers; called once, while those still exist. Open
     // requests of the consensus client end without a result.
     void disconnect();
 
     // Another process listens on the same sockets before and after this one.
     bool has_inherited_socket() const { return config.inherited_fd >= 0; }
-    // The oldest copy that may be served, as an age; 0: any.
+    // The maximum age of a copy that may be served; 0: any.
     base::Micros max_copy_age() const;
-    // A read or write of a disk is under way, and may hang.
+    // A disk read or write is in progress, and may hang.
     bool disk_busy() const;
 
     const config::Config& config;
@@ -77,7 +78,7 @@
     std::unique_ptr<signed_url_server::SignedUrlServer> signed_url_server;
     std::unique_ptr<EndpointManager> endpoint_manager;
     admin::State admin_state;
-    admin::DrainSchedule drain_schedule;  // of the drain under way, if any
+    admin::DrainSchedule drain_schedule;  // of the drain in progress, if any
     std::unique_ptr<DrainReport> drain_report;
     AdminStateHandover handover;
     DurableReplies durable_replies;
@@ -95,8 +96,8 @@
 
   private:
     void make_signed_url_server(const config::Operator& setup);
-    // Of all files that administrative state is kept in.
-    bool is_write_undecided();
+    // For all files that administrative state is stored in.
+    bool is_write_outcome_unknown();
     std::string unwritten_reason();
     base::Micros write_running_for();
 };
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -14,7 +14,7 @@
 
 namespace sumackeel::daemon {
 
-// The components and the controllers that let them work together. The signals' handles must outlive the loop,
+// The components and the controllers that connect them. The signals' handles must outlive the loop,
 // which closes them.
 class Daemon::Process {
   public:
@@ -123,7 +123,7 @@
 }
 
 std::uint64_t Daemon::reloads() const {
-    return process_->components().reload.decided();
+    return process_->components().reload.completed();
 }
 
 int Daemon::ops_port() const {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-// The edge proxy as a whole: its parts, composed round one loop.
+// The edge proxy as a whole: its parts, running on one event loop.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 class Daemon {
   public:
     // Listens and starts all parts. Both configurations must outlive the daemon. Throws what the parts throw
-    // where an address or a file can't be used.
+    // if an address or a file can't be used.
     Daemon(const config::Config& config, const config::Operator& setup, Files files = {});
     ~Daemon();
     Daemon(const Daemon&) = delete;
@@ -34,10 +34,10 @@
     void reload();  // reads the configuration again, as on SIGHUP
     void stop();    // ends run() at once, whatever is open
 
-    // A read or write of a disk is under way, and may hang; destroying the daemon would wait for it. Valid
+    // A disk read or write is in progress, and may hang; destroying the daemon would wait for it. Valid
     // once run() has returned.
     bool disk_busy() const;
-    // Reloads that were decided since the start, whether applied or rejected; from any thread.
+    // Reloads completed since the start, whether applied or rejected; from any thread.
     std::uint64_t reloads() const;
 
     int port() const;         // of the platform's server
--- a/src/daemon/daemon_error.h
+++ b/src/daemon/daemon_error.h
@@ -12,7 +12,7 @@
     invalid_store_request,   // a request to the store's socket API has a field of the wrong type
 };
 
-// What can fail in this module by an exception; what() is the text that operators see.
+// Thrown by this module; what() is the text that operators see.
 class DaemonError : public std::runtime_error {
   public:
     DaemonError(DaemonErrorCode code, const std::string& text) : std::runtime_error(text), code_(code) {}
--- a/src/daemon/drain_report.cpp
+++ b/src/daemon/drain_report.cpp
@@ -10,48 +10,51 @@
 
 namespace {
 
-constexpr base::Micros kNoneHeld = 4'000'000;  // the operators' page: from then on no connection is held
+constexpr base::Micros kAllClosedAfter =
+    4'000'000;  // as documented for operators: from then on no connection is held open
 
-// Connections by what they do, and why those that are gone have ended.
-std::string described(const net::ConnectionManager& connections) {
+// The number of connections, in total and by state.
+std::string describe(const net::ConnectionManager& connections) {
     using net::ConnectionState;
-    std::string text = fmt::format("{} connections", connections.connection_count());
-    for (const ConnectionState doing :
+    std::string text = fmt::format("connections={}", connections.connection_count());
+    for (const ConnectionState state :
          {ConnectionState::awaiting_request, ConnectionState::receiving, ConnectionState::idle,
           ConnectionState::flushing, ConnectionState::processing, ConnectionState::half_closed})
-        if (const std::size_t count = connections.count(doing); count > 0)
-            text += fmt::format(", {} {}", count, net::name_of(doing));
+        if (const std::size_t count = connections.count(state); count > 0)
+            text += fmt::format(" {1}={0}", count, net::name_of(state));
     return text;
 }
 
 }  // namespace
 
-void DrainReport::now(const admin::DrainSchedule& drain) {
+void DrainReport::update(const admin::DrainSchedule& drain) {
     if (drain == drain_) return;
-    const admin::DrainSchedule before = std::exchange(drain_, drain);
-    current_ = std::make_shared<bool>(true);
+    const admin::DrainSchedule previous = std::exchange(drain_, drain);
+    current_drain_ = std::make_shared<bool>(true);
     if (!drain.is_active())
-        return log::info("drain over after {} ms", before.age(loop_.clock().now()) / 1000);
-    line();
-    for (const base::Micros at :
-         {admin::DrainSchedule::kRejectAfter, admin::DrainSchedule::kResponseDeadline, kNoneHeld})
-        line_at(at);
+        return log::info("drain: finished after_ms={}", previous.age(loop_.clock().now()) / 1000);
+    log_progress();
+    for (const base::Micros delay :
+         {admin::DrainSchedule::kRejectAfter, admin::DrainSchedule::kResponseDeadline, kAllClosedAfter})
+        schedule_progress(delay);
 }
 
-void DrainReport::line_at(base::Micros since_began) {
-    const base::Micros wait = since_began - drain_.age(loop_.clock().now());
-    loop_.timers().schedule(loop_.clock().now() + wait, [this, current = std::weak_ptr<bool>(current_)] {
-        if (!current.expired()) line();
-    });
+void DrainReport::schedule_progress(base::Micros since_start) {
+    const base::Micros wait = since_start - drain_.age(loop_.clock().now());
+    loop_.timers().schedule(loop_.clock().now() + wait,
+                            [this, current_drain = std::weak_ptr<bool>(current_drain_)] {
+                                if (!current_drain.expired()) log_progress();
+                            });
 }
 
-void DrainReport::line() const {
-    const auto& metrics = front_.drain_metrics();
+void DrainReport::log_progress() const {
+    const auto& metrics = server_.drain_metrics();
     std::string text =
-        fmt::format("drain at {} ms: {}; {} refused, {} held, {} hurried since the start",
-                    drain_.age(loop_.clock().now()) / 1000, described(front_.connection_manager()),
+        fmt::format("drain: progress after_ms={} {} rejected={} held={} hurried={}",
+                    drain_.age(loop_.clock().now()) / 1000, describe(server_.connection_manager()),
                     metrics.rejected, metrics.held, metrics.hurried);
-    if (signed_front_) text += fmt::format("; signed: {}", described(signed_front_->connection_manager()));
+    if (signed_server_)
+        text += fmt::format(" signed_url_server: {}", describe(signed_server_->connection_manager()));
     log::info("{}", text);
 }
 
--- a/src/daemon/drain_report.h
+++ b/src/daemon/drain_report.h
@@ -1,5 +1,5 @@
-// What a drain does to the clients' connections, as lines of the log: at its yes, at each of its stages, and
-// at the moment from which no connection may be held.
+// Logs the effect of a drain on the client connections: when it is accepted, at each of its stages, and at
+// the time from which no connection may be held open.
 #pragma once
 
 #include <memory>
@@ -13,23 +13,24 @@
 
 class DrainReport {
   public:
-    // `signed_front` may be null.
-    DrainReport(net::Loop& loop, const platform_server::PlatformServer& front,
-                const signed_url_server::SignedUrlServer* signed_front)
-        : loop_(loop), front_(front), signed_front_(signed_front) {}
+    // `signed_server` may be null.
+    DrainReport(net::Loop& loop, const platform_server::PlatformServer& server,
+                const signed_url_server::SignedUrlServer* signed_server)
+        : loop_(loop), server_(server), signed_server_(signed_server) {}
 
-    // A drain that began, goes on, or is over: told with each change of the board.
-    void now(const admin::DrainSchedule& drain);
+    // Called with each change of the administrative state: a drain has started, continues, or is over.
+    void update(const admin::DrainSchedule& drain);
 
   private:
-    void line() const;
-    void line_at(base::Micros since_began);
+    void log_progress() const;
+    void schedule_progress(base::Micros since_start);
 
     net::Loop& loop_;
-    const platform_server::PlatformServer& front_;
-    const signed_url_server::SignedUrlServer* signed_front_;
+    const platform_server::PlatformServer& server_;
+    const signed_url_server::SignedUrlServer* signed_server_;
     admin::DrainSchedule drain_;
-    std::shared_ptr<bool> current_;  // for what is set in the loop; anew with each drain
+    std::shared_ptr<bool>
+        current_drain_;  // renewed with each drain; pending timers of an earlier drain do nothing
 };
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/durable_replies.cpp
+++ b/src/daemon/durable_replies.cpp
@@ -7,40 +7,39 @@
 namespace sumackeel::daemon {
 
 DurableReplies::~DurableReplies() {
-    for (const auto& [number, one] : waiting_) loop_.timers().cancel(one.latest);
+    for (const auto& [number, pending] : pending_) loop_.timers().cancel(pending.timeout);
 }
 
-std::optional<admin::ApiReply> DurableReplies::reply_when_durable(admin::ApiReply reply,
-                                                                  const admin_server::DeferredReply& later,
-                                                                  base::Micros max_wait) {
-    const base::Micros wait = std::min(max_wait, kWaitForDisk - disks_.silent_for());
-    if (!disks_.undecided() || wait <= 0) return worded(std::move(reply));
-    const std::uint64_t number = next_++;
-    const auto latest =
-        loop_.timers().schedule(loop_.clock().now() + wait, [this, number] { answer(number); });
-    waiting_.emplace(number, Waiting{std::move(reply), later, latest});
+std::optional<admin::ApiReply> DurableReplies::reply_when_durable(
+    admin::ApiReply reply, const admin_server::DeferredReply& respond_later, base::Micros max_wait) {
+    const base::Micros wait = std::min(max_wait, kDiskTimeout - write_status_.write_running_for());
+    if (!write_status_.outcome_unknown() || wait <= 0) return with_warning(std::move(reply));
+    const std::uint64_t number = next_number_++;
+    const auto timeout =
+        loop_.timers().schedule(loop_.clock().now() + wait, [this, number] { send_reply(number); });
+    pending_.emplace(number, PendingReply{std::move(reply), respond_later, timeout});
     return std::nullopt;
 }
 
 void DurableReplies::on_write_finished() {
-    if (disks_.undecided()) return;
-    std::vector<std::uint64_t> all;
-    for (const auto& [number, one] : waiting_) all.push_back(number);
-    for (const std::uint64_t number : all) answer(number);
+    if (write_status_.outcome_unknown()) return;
+    std::vector<std::uint64_t> numbers;
+    for (const auto& [number, pending] : pending_) numbers.push_back(number);
+    for (const std::uint64_t number : numbers) send_reply(number);
 }
 
-void DurableReplies::answer(std::uint64_t number) {
-    const auto found = waiting_.find(number);
-    if (found == waiting_.end()) return;
-    const Waiting one = std::move(found->second);
-    waiting_.erase(found);
-    loop_.timers().cancel(one.latest);
-    one.later(worded(one.reply));
+void DurableReplies::send_reply(std::uint64_t number) {
+    const auto found = pending_.find(number);
+    if (found == pending_.end()) return;
+    const PendingReply pending = std::move(found->second);
+    pending_.erase(found);
+    loop_.timers().cancel(pending.timeout);
+    pending.respond_later(with_warning(pending.reply));
 }
 
-admin::ApiReply DurableReplies::worded(admin::ApiReply reply) const {
-    const std::string missing = disks_.missing();
-    if (!missing.empty()) reply.body += "not kept yet, trying again: " + missing + "\n";
+admin::ApiReply DurableReplies::with_warning(admin::ApiReply reply) const {
+    const std::string unwritten_reason = write_status_.unwritten_reason();
+    if (!unwritten_reason.empty()) reply.body += "not kept yet, trying again: " + unwritten_reason + "\n";
     return reply;
 }
 
--- a/src/daemon/kv_store_service.cpp
+++ b/src/daemon/kv_store_service.cpp
@@ -17,32 +17,32 @@
 
 namespace {
 
-constexpr const char* kRevisionCall = "registry";                 // between proxies: which revision one has
-constexpr const char* kImportMarkerKey = "fleet/store_imported";  // the mark of the take-over
-// A leader tells the others that there is a purge, so many at a time: they ask for it at once instead of
-// within their quarter of a second, and a voter instead of within a heartbeat.
+constexpr const char* kRevisionCall = "registry";  // between proxies: asks for a proxy's newest purge
+constexpr const char* kImportMarkerKey = "fleet/store_imported";  // set once the import is complete
+// A leader notifies the others of a purge in batches: they then poll for it at once instead of within their
+// poll interval of a quarter of a second, or, for a voter, within a heartbeat.
 constexpr const char* kPurgeNotificationCall = "registry-news";
 constexpr std::size_t kPurgeNotificationBatch = 50;
 constexpr Micros kPurgeNotificationInterval = 10'000;
 constexpr Micros kPurgeNotificationTimeout = 500'000;
-constexpr Micros kMaxConfirmedAge = 3'000'000;  // what is agreed on is heard each quarter of a second
+constexpr Micros kMaxConfirmedAge = 3'000'000;  // the state is confirmed every quarter of a second
 constexpr Micros kImportRetryDelay = 1'000'000;
-constexpr Micros kProgressTimeout = 800'000;  // an operator's call is answered within a second
+constexpr Micros kProgressTimeout = 800'000;  // operators' calls are answered within 1 s
 constexpr std::size_t kMaxListedKeys = 1'000;
 
-Json::Value one(const char* name, const Json::Value& what) {
-    Json::Value message;
-    message[name] = what;
-    return message;
+Json::Value json_field(const char* name, const Json::Value& value) {
+    Json::Value object;
+    object[name] = value;
+    return object;
 }
 
-std::string text(const Json::Value& question, const char* name) {
-    if (!question[name].isString())
+std::string text_field(const Json::Value& request, const char* name) {
+    if (!request[name].isString())
         throw DaemonError(DaemonErrorCode::invalid_store_request, std::string(name) + " is no text");
-    return question[name].asString();
+    return request[name].asString();
 }
 
-Json::Value shown(const std::string& key, const kv_store::Entry& entry) {
+Json::Value entry_json(const std::string& key, const kv_store::Entry& entry) {
     Json::Value value;
     value["key"] = key;
     value["version"] = Json::UInt64{entry.version};
@@ -54,30 +54,31 @@
 }  // namespace
 
 KvStoreService::KvStoreService(net::Loop& loop, net::SocketBudget& sockets,
-                               cluster_transport::ClusterTransport& peers, consensus::ConsensusClient& agreed,
-                               const config::Store& setup, Purged purged)
+                               cluster_transport::ClusterTransport& transport,
+                               consensus::ConsensusClient& client, const config::Store& setup,
+                               OnPurge on_purge)
     : loop_(loop),
-      transport_(peers),
-      consensus_(agreed),
+      transport_(transport),
+      consensus_(client),
       setup_(setup),
-      purged_(std::move(purged)),
-      started_(loop.clock().now()),
+      on_purge_(std::move(on_purge)),
+      started_at_(loop.clock().now()),
       api_(loop, sockets, setup.listen,
-           [this](const Json::Value& question, const store::StoreApi::Answer& answer) {
-               word(question, answer);
+           [this](const Json::Value& request, const store::StoreApi::Answer& respond) {
+               handle_request(request, respond);
            }) {
     consensus_.on_kv_store_change([this] { on_log_changed(); });
     transport_.on_call(kRevisionCall, [this](const std::string&, const std::string&, const std::string&,
-                                             const cluster_transport::ClusterTransport::Respond& say) {
-        say(std::to_string(consensus_.kv_store().last_purge()));
+                                             const cluster_transport::ClusterTransport::Respond& respond) {
+        respond(std::to_string(consensus_.kv_store().last_purge()));
     });
     transport_.on_call(kPurgeNotificationCall,
-                       [this](const std::string& from, const std::string&, const std::string&,
-                              const cluster_transport::ClusterTransport::Respond& say) {
-                           say({});
-                           consensus_.poll_now(from);
+                       [this](const std::string& sender, const std::string&, const std::string&,
+                              const cluster_transport::ClusterTransport::Respond& respond) {
+                           respond({});
+                           consensus_.poll_now(sender);
                        });
-    if (!setup_.folder.empty() && store::has_legacy_store(setup_.folder)) import();
+    if (!setup_.folder.empty() && store::has_legacy_store(setup_.folder)) import_legacy_store();
     on_log_changed();
 }
 
@@ -85,7 +86,7 @@
     alive_.reset();
     consensus_.on_kv_store_change({});
     for (const char* verb : {kRevisionCall, kPurgeNotificationCall}) transport_.remove_call_handler(verb);
-    if (next_import_) loop_.timers().cancel(*next_import_);
+    if (import_timer_) loop_.timers().cancel(*import_timer_);
 }
 
 std::optional<std::string> KvStoreService::get(const std::string& key) const {
@@ -96,29 +97,31 @@
 Micros KvStoreService::max_copy_age() const {
     const auto age = consensus_.confirmed_age();
     if (age && *age <= kMaxConfirmedAge) return 0;
-    return std::max<Micros>(1'000, age ? *age : loop_.clock().now() - started_);
+    return std::max<Micros>(1'000, age ? *age : loop_.clock().now() - started_at_);
 }
 
-// Danger: when it was told is by another's clock, which may be far from ours. Heard now is never too early.
+// The time at which a purge was submitted is by another machine's clock, which may differ widely from the
+// local one. So a purge counts as received now, which is never too early.
 void KvStoreService::on_log_changed() {
     const kv_store::State& state = consensus_.kv_store();
-    if (state.last_purge() < notified_purge_) notified_purge_ = 0;  // another history: all of it is news
+    if (state.last_purge() < notified_purge_)
+        notified_purge_ = 0;  // the log was replaced: all of its purges are new
     const auto newer = std::upper_bound(
         state.purges().begin(), state.purges().end(), notified_purge_,
-        [](std::uint64_t number, const kv_store::Purge& one) { return number < one.number; });
-    std::for_each(newer, state.purges().end(), purged_);
-    const bool news = state.last_purge() > notified_purge_;
+        [](std::uint64_t number, const kv_store::Purge& purge) { return number < purge.number; });
+    std::for_each(newer, state.purges().end(), on_purge_);
+    const bool has_new = state.last_purge() > notified_purge_;
     notified_purge_ = std::max(notified_purge_, state.last_purge());
-    if (!news || !consensus_.is_leader()) return;
+    if (!has_new || !consensus_.is_leader()) return;
     consensus_.replicate_now();
     auto names = std::make_shared<std::vector<std::string>>();
-    for (const cluster::MemberView& seen : transport_.membership().members())
-        if (seen.state == cluster::State::alive || seen.state == cluster::State::suspect)
-            names->push_back(seen.record.name);
-    tell_news(names);
+    for (const cluster::MemberView& member : transport_.membership().members())
+        if (member.state == cluster::State::alive || member.state == cluster::State::suspect)
+            names->push_back(member.record.name);
+    notify_members(names);
 }
 
-void KvStoreService::tell_news(const std::shared_ptr<std::vector<std::string>>& names) {
+void KvStoreService::notify_members(const std::shared_ptr<std::vector<std::string>>& names) {
     for (std::size_t i = 0; i < kPurgeNotificationBatch && !names->empty(); ++i) {
         transport_.call(names->back(), kPurgeNotificationCall, {}, kPurgeNotificationTimeout,
                         [](const auto&) {});
@@ -127,23 +130,24 @@
     if (names->empty()) return;
     const std::weak_ptr<bool> alive = alive_;
     loop_.timers().schedule(loop_.clock().now() + kPurgeNotificationInterval, [this, alive, names] {
-        if (!alive.expired()) tell_news(names);
+        if (!alive.expired()) notify_members(names);
     });
 }
 
 // NOLINTNEXTLINE(readability-function-size): not split yet
-void KvStoreService::word(const Json::Value& question, const store::StoreApi::Answer& answer) {
-    const auto refused = [answer](const std::optional<CommandResult>& from) {
-        answer(one("refused", from ? from->reason : "no majority of the voters answered, ask again"));
+void KvStoreService::handle_request(const Json::Value& request, const store::StoreApi::Answer& respond) {
+    const auto reject = [respond](const std::optional<CommandResult>& result) {
+        respond(
+            json_field("refused", result ? result->reason : "no majority of the voters answered, ask again"));
     };
-    if (question.isMember("promote"))
-        return consensus_.take_leadership([answer, refused](const std::optional<CommandResult>& from) {
-            if (!from || from->outcome != Outcome::granted) return refused(from);
-            answer(one("promoted", Json::UInt64{from->number}));
+    if (request.isMember("promote"))
+        return consensus_.take_leadership([respond, reject](const std::optional<CommandResult>& result) {
+            if (!result || result->outcome != Outcome::granted) return reject(result);
+            respond(json_field("promoted", Json::UInt64{result->number}));
         });
-    if (question.isMember("list")) {
-        const std::string prefix = text(question, "list");
-        Json::Value all = one("keys", Json::Value(Json::arrayValue));
+    if (request.isMember("list")) {
+        const std::string prefix = text_field(request, "list");
+        Json::Value all = json_field("keys", Json::Value(Json::arrayValue));
         const auto& entries = consensus_.kv_store().entries();
         for (auto at = entries.lower_bound(prefix); at != entries.end() && at->first.starts_with(prefix);
              ++at) {
@@ -151,81 +155,88 @@
                 all["more"] = true;
                 break;
             }
-            all["keys"].append(shown(at->first, at->second));
+            all["keys"].append(entry_json(at->first, at->second));
         }
-        return answer(all);
+        return respond(all);
     }
-    if (question.isMember("get")) {
-        const std::string key = text(question, "get");
-        if (!question["sure"].asBool()) {
+    if (request.isMember("get")) {
+        const std::string key = text_field(request, "get");
+        if (!request["sure"].asBool()) {
             const kv_store::Entry* entry = consensus_.kv_store().find(key);
-            Json::Value value = one("version", Json::UInt64{entry ? entry->version : 0});
+            Json::Value value = json_field("version", Json::UInt64{entry ? entry->version : 0});
             if (entry) value["value"] = entry->value;
             value["revision"] = Json::UInt64{consensus_.kv_store().revision()};
             if (const auto age = consensus_.confirmed_age()) value["age_s"] = static_cast<double>(*age) / 1e6;
-            return answer(value);
+            return respond(value);
         }
-        return consensus_.read(key, [answer, refused](const std::optional<CommandResult>& from) {
-            if (!from) return refused(from);
-            Json::Value value = one("version", Json::UInt64{from->number});
-            if (from->outcome == Outcome::granted) value["value"] = from->reason;
-            answer(value);
+        return consensus_.read(key, [respond, reject](const std::optional<CommandResult>& result) {
+            if (!result) return reject(result);
+            Json::Value value = json_field("version", Json::UInt64{result->number});
+            if (result->outcome == Outcome::granted) value["value"] = result->reason;
+            respond(value);
         });
     }
-    kv_store::Operation part;
-    part.kind = question.isMember("remove") ? kv_store::OperationKind::remove : kv_store::OperationKind::set;
-    part.key = text(question, part.kind == kv_store::OperationKind::remove ? "remove" : "set");
-    if (part.kind == kv_store::OperationKind::set) part.value = text(question, "value");
-    if (question.isMember("version")) {
-        if (!question["version"].isUInt64())
+    kv_store::Operation operation;
+    operation.kind =
+        request.isMember("remove") ? kv_store::OperationKind::remove : kv_store::OperationKind::set;
+    operation.key = text_field(request, operation.kind == kv_store::OperationKind::remove ? "remove" : "set");
+    if (operation.kind == kv_store::OperationKind::set) operation.value = text_field(request, "value");
+    if (request.isMember("version")) {
+        if (!request["version"].isUInt64())
             throw DaemonError(DaemonErrorCode::invalid_store_request, "version is no whole number");
-        part.expected_version = question["version"].asUInt64();
+        operation.expected_version = request["version"].asUInt64();
     }
-    if (question.isMember("lasts_s")) {
-        if (!question["lasts_s"].isNumeric())
+    if (request.isMember("lasts_s")) {
+        if (!request["lasts_s"].isNumeric())
             throw DaemonError(DaemonErrorCode::invalid_store_request, "lasts_s is no number");
-        part.time_to_live = static_cast<Micros>(std::clamp(question["lasts_s"].asDouble(), 0.001, 1e9) * 1e6);
+        operation.time_to_live =
+            static_cast<Micros>(std::clamp(request["lasts_s"].asDouble(), 0.001, 1e9) * 1e6);
     }
-    consensus_.submit_change(
-        {{part}, transport_.membership().self().name, 0}, [answer](const std::optional<CommandResult>& from) {
-            Json::Value value = one("outcome", !from                               ? "unknown"
-                                               : from->outcome == Outcome::granted ? "done"
-                                                                                   : "conflict");
-            if (from) value["version"] = Json::UInt64{from->number};
-            if (from && from->outcome != Outcome::granted) value["reason"] = from->reason;
-            answer(value);
-        });
+    consensus_.submit_change({{operation}, transport_.membership().self().name, 0},
+                             [respond](const std::optional<CommandResult>& result) {
+                                 Json::Value value = json_field(
+                                     "outcome", !result                               ? "unknown"
+                                                : result->outcome == Outcome::granted ? "done"
+                                                                                      : "conflict");
+                                 if (result) value["version"] = Json::UInt64{result->number};
+                                 if (result && result->outcome != Outcome::granted)
+                                     value["reason"] = result->reason;
+                                 respond(value);
+                             });
 }
 
-// Once, by the member that the old store knew as its primary. The mark goes in with the last of it.
-void KvStoreService::import() {
+// Imports the old store once, on the member that was its primary. The import marker is written together with
+// the last keys.
+void KvStoreService::import_legacy_store() {
     try {
-        old_ = store::read_legacy_store(setup_.folder);
-    } catch (const std::exception& wrong) {
-        return log::error("store: what {} holds is not taken over: {}", setup_.folder, wrong.what());
+        legacy_store_ = store::read_legacy_store(setup_.folder);
+    } catch (const std::exception& error) {
+        return log::error("store: import failed folder={} reason={}", setup_.folder, error.what());
     }
-    const std::string led = old_->leader.empty() ? setup_.primary : old_->leader;
-    if (led != setup_.name) {
-        log::info("store: {} led the old store, its folder is the one taken over", led);
-        return old_.reset();
+    const std::string old_primary = legacy_store_->leader.empty() ? setup_.primary : legacy_store_->leader;
+    if (old_primary != setup_.name) {
+        log::info("store: import skipped primary={} reason=only the folder of the old primary is imported",
+                  old_primary);
+        return legacy_store_.reset();
     }
-    import_next();
+    import_next_batch();
 }
 
-void KvStoreService::import_next() {
-    const auto again = [this] {
-        next_import_ = loop_.timers().schedule(loop_.clock().now() + kImportRetryDelay, [this] {
-            next_import_.reset();
-            import_next();
+void KvStoreService::import_next_batch() {
+    const auto retry = [this] {
+        import_timer_ = loop_.timers().schedule(loop_.clock().now() + kImportRetryDelay, [this] {
+            import_timer_.reset();
+            import_next_batch();
         });
     };
-    if (!consensus_.is_known()) return again();
+    if (!consensus_.is_known()) return retry();
     const kv_store::State& state = consensus_.kv_store();
-    if (state.find(kImportMarkerKey)) return old_.reset();
+    if (state.find(kImportMarkerKey)) return legacy_store_.reset();
     kv_store::Transaction change{{}, transport_.membership().self().name, 0};
     bool last = true;
-    for (const auto& [key, value] : old_->values) {
-        if (state.find(key) || key == "store/leader") continue;  // what was set since goes before it
+    for (const auto& [key, value] : legacy_store_->values) {
+        if (state.find(key) || key == "store/leader")
+            continue;  // a value that was set since takes precedence
         last = change.operations.size() + 1 < kv_store::kMaxOperations;
         if (!last) break;
         change.operations.push_back({key, kv_store::OperationKind::set, value, 0, 0});
@@ -233,83 +244,86 @@
     if (last)
         change.operations.push_back({kImportMarkerKey, kv_store::OperationKind::set, setup_.folder, 0, 0});
     const std::weak_ptr<bool> alive = alive_;
-    consensus_.submit_change(change, [this, alive, again, last](const std::optional<CommandResult>& answer) {
+    consensus_.submit_change(change, [this, alive, retry, last](const std::optional<CommandResult>& result) {
         if (alive.expired()) return;
-        if (answer && answer->outcome == Outcome::rejected) {
-            // One that can't be kept must not hold up the rest for ever: named, and left out.
-            const std::string key = answer->reason.substr(0, answer->reason.find(':'));
-            log::warn("store: {}", answer->reason);
-            old_->values.erase(key);
+        if (result && result->outcome == Outcome::rejected) {
+            // A key that can't be stored must not block the others for ever: it is logged and skipped.
+            const std::string key = result->reason.substr(0, result->reason.find(':'));
+            log::warn("store: import rejected reason={}", result->reason);
+            legacy_store_->values.erase(key);
         }
-        if (answer && answer->outcome == Outcome::granted && last)
-            return log::info("store: {} keys of {} are taken over", old_->values.size(), setup_.folder);
-        again();
+        if (result && result->outcome == Outcome::granted && last)
+            return log::info("store: imported keys={} folder={}", legacy_store_->values.size(),
+                             setup_.folder);
+        retry();
     });
 }
 
 std::optional<admin::ApiReply> KvStoreService::handle_call(const admin::ApiCall& call,
-                                                           const admin_server::DeferredReply& later) {
-    constexpr std::string_view kHead = "/ops/purge/";
+                                                           const admin_server::DeferredReply& respond_later) {
+    constexpr std::string_view kPathPrefix = "/ops/purge/";
     if (call.path == "/ops/purge") {
         if (call.method != "GET") return admin::ApiReply{405, "GET alone\n", false};
-        progress(later);
+        report_progress(respond_later);
         return std::nullopt;
     }
     if (call.method != "POST") return admin::ApiReply{405, "POST alone\n", false};
-    const std::string_view rest = call.path.substr(std::min(kHead.size(), call.path.size()));
-    const auto slash = rest.find('/');
-    const std::string_view kind = rest.substr(0, slash);
-    const std::string_view what =
-        slash == std::string_view::npos ? std::string_view{} : rest.substr(slash + 1);
+    const std::string_view target = call.path.substr(std::min(kPathPrefix.size(), call.path.size()));
+    const auto slash = target.find('/');
+    const std::string_view kind = target.substr(0, slash);
+    const std::string_view id =
+        slash == std::string_view::npos ? std::string_view{} : target.substr(slash + 1);
     kv_store::Purge purge;
     purge.by = transport_.membership().self().name;
-    const auto number = what.substr(0, what.find('/'));
+    const auto number = id.substr(0, id.find('/'));
     const auto read = std::from_chars(number.data(), number.data() + number.size(), purge.purge_group);
     const bool numbered =
         read.ec == std::errc{} && read.ptr == number.data() + number.size() && purge.purge_group >= 0;
-    const bool whole = kind == "group" && numbered && number.size() == what.size();
-    const bool single = kind == "object" && numbered && what.size() > number.size() + 1;
-    if (!whole && !single) return admin::ApiReply{400, "group/NUMBER or object/GROUP/ID is wanted\n", false};
-    if (single) purge.object = what.substr(number.size() + 1);
-    consensus_.submit_purge(purge, [later](const std::optional<CommandResult>& answer) {
-        if (!answer) return later({503, "no majority of the voters answered, call again\n", false});
-        if (answer->outcome != Outcome::granted)
-            return later({409, fmt::format("{}\n", answer->reason), false});
-        later({200, fmt::format("purge {}\n", answer->number), false});
+    const bool whole_group = kind == "group" && numbered && number.size() == id.size();
+    const bool single_object = kind == "object" && numbered && id.size() > number.size() + 1;
+    if (!whole_group && !single_object)
+        return admin::ApiReply{400, "group/NUMBER or object/GROUP/ID is wanted\n", false};
+    if (single_object) purge.object = id.substr(number.size() + 1);
+    consensus_.submit_purge(purge, [respond_later](const std::optional<CommandResult>& result) {
+        if (!result) return respond_later({503, "no majority of the voters answered, call again\n", false});
+        if (result->outcome != Outcome::granted)
+            return respond_later({409, fmt::format("{}\n", result->reason), false});
+        respond_later({200, fmt::format("purge {}\n", result->number), false});
     });
     return std::nullopt;
 }
 
-// Which purge each member has taken, asked of all at once; those that do not answer in time have none.
-void KvStoreService::progress(const admin_server::DeferredReply& later) {
-    struct Asked {
+// Reports the newest purge that each member has applied. All are asked at once; a member that does not answer
+// in time is reported with null.
+void KvStoreService::report_progress(const admin_server::DeferredReply& respond_later) {
+    struct ProgressQuery {
         Json::Value root;
-        std::size_t open = 1;
-        admin_server::DeferredReply later;
-        void end() {
-            if (--open == 0) later({200, base::to_json_line(root), false});
+        std::size_t pending = 1;
+        admin_server::DeferredReply respond_later;
+        void finish_one() {
+            if (--pending == 0) respond_later({200, base::to_json_line(root), false});
         }
     };
-    const auto asked = std::make_shared<Asked>();
-    asked->later = later;
-    asked->root["last"] = Json::UInt64{consensus_.kv_store().last_purge()};
-    asked->root["members"][transport_.membership().self().name] =
+    const auto query = std::make_shared<ProgressQuery>();
+    query->respond_later = respond_later;
+    query->root["last"] = Json::UInt64{consensus_.kv_store().last_purge()};
+    query->root["members"][transport_.membership().self().name] =
         Json::UInt64{consensus_.kv_store().last_purge()};
-    for (const cluster::MemberView& seen : transport_.membership().members()) {
-        if (seen.state == cluster::State::left) continue;
-        const std::string& name = seen.record.name;
-        asked->root["members"][name] = Json::Value();
-        ++asked->open;
+    for (const cluster::MemberView& member : transport_.membership().members()) {
+        if (member.state == cluster::State::left) continue;
+        const std::string& name = member.record.name;
+        query->root["members"][name] = Json::Value();
+        ++query->pending;
         transport_.call(
-            name, kRevisionCall, {}, kProgressTimeout, [asked, name](std::optional<std::string> body) {
+            name, kRevisionCall, {}, kProgressTimeout, [query, name](std::optional<std::string> body) {
                 std::uint64_t number = 0;
                 if (body &&
                     std::from_chars(body->data(), body->data() + body->size(), number).ec == std::errc{})
-                    asked->root["members"][name] = Json::UInt64{number};
-                asked->end();
+                    query->root["members"][name] = Json::UInt64{number};
+                query->finish_one();
             });
     }
-    asked->end();
+    query->finish_one();
 }
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/kv_store_service.h
+++ b/src/daemon/kv_store_service.h
@@ -1,6 +1,6 @@
-// The registry of the agreed log as the daemon lives with it: the words of `sumackeel store` and of
-// `sumackeel purge`, purges told to the module, and what the store of earlier versions left on disk taken
-// over once. Off unless the operator's file has [store].
+// Serves the key-value store of the replicated log: handles the requests of `sumackeel store` and
+// `sumackeel purge`, passes purges to the router, and imports once what the store of earlier versions left on
+// disk. Off unless the operator's settings have [store].
 #pragma once
 
 #include <functional>
@@ -22,41 +22,43 @@
 
 class KvStoreService {
   public:
-    using Purged = std::function<void(const kv_store::Purge&)>;
+    using OnPurge = std::function<void(const kv_store::Purge&)>;
 
-    // Agreed and peers outlive this. `purged`: each purge once, heard just now, whenever it was told.
-    KvStoreService(net::Loop& loop, net::SocketBudget& sockets, cluster_transport::ClusterTransport& peers,
-                   consensus::ConsensusClient& agreed, const config::Store& setup, Purged purged);
+    // `client` and `transport` must outlive this. `on_purge` is called once for each purge, which counts as
+    // received now, whenever it was submitted.
+    KvStoreService(net::Loop& loop, net::SocketBudget& sockets,
+                   cluster_transport::ClusterTransport& transport, consensus::ConsensusClient& client,
+                   const config::Store& setup, OnPurge on_purge);
     ~KvStoreService();
     KvStoreService(const KvStoreService&) = delete;
     KvStoreService& operator=(const KvStoreService&) = delete;
 
     std::optional<std::string> get(const std::string& key) const;
-    // The oldest copy that will do, as an age; 0: any. One that has not heard for a while what is agreed on
-    // may have missed a purge.
+    // The maximum age of a copy that may be served; 0: any. A proxy whose state has not been confirmed for a
+    // while may have missed a purge.
     base::Micros max_copy_age() const;
-    // Calls under /ops/purge. None: the answer comes later.
+    // Handles calls under /ops/purge. No value: the reply comes by `respond_later`.
     std::optional<admin::ApiReply> handle_call(const admin::ApiCall& call,
-                                               const admin_server::DeferredReply& later);
+                                               const admin_server::DeferredReply& respond_later);
     int port() const { return api_.port(); }
 
   private:
-    void word(const Json::Value& question, const store::StoreApi::Answer& answer);
+    void handle_request(const Json::Value& request, const store::StoreApi::Answer& respond);
     void on_log_changed();
-    void import();
-    void import_next();
-    void tell_news(const std::shared_ptr<std::vector<std::string>>& names);
-    void progress(const admin_server::DeferredReply& later);
+    void import_legacy_store();
+    void import_next_batch();
+    void notify_members(const std::shared_ptr<std::vector<std::string>>& names);
+    void report_progress(const admin_server::DeferredReply& respond_later);
 
     net::Loop& loop_;
     cluster_transport::ClusterTransport& transport_;
     consensus::ConsensusClient& consensus_;
     const config::Store setup_;
-    Purged purged_;
-    base::Micros started_;
-    std::uint64_t notified_purge_ = 0;  // the newest purge told to the module
-    std::optional<store::LegacyStore> old_;
-    std::optional<base::TimerQueue::Key> next_import_;
+    OnPurge on_purge_;
+    base::Micros started_at_;
+    std::uint64_t notified_purge_ = 0;  // the newest purge passed to the router
+    std::optional<store::LegacyStore> legacy_store_;
+    std::optional<base::TimerQueue::Key> import_timer_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     store::StoreApi api_;
 };
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -37,17 +37,17 @@
 
 }  // namespace
 
-std::vector<admin::Counter> counters_of(const core::Core& core, const platform_server::PlatformServer& front,
-                                        const signed_url_server::SignedUrlServer* signed_front) {
+std::vector<admin::Counter> counters_of(const core::Core& core, const platform_server::PlatformServer& server,
+                                        const signed_url_server::SignedUrlServer* signed_server) {
     Counters counters;
     add_responses(counters, core.metrics());
     counters.push_back({"log_lines_dropped", log::dropped_lines()});
-    const auto& drain = front.drain_metrics();
+    const auto& drain = server.drain_metrics();
     counters.push_back({"drain_refused", drain.rejected});
     counters.push_back({"drain_held", drain.held});
     counters.push_back({"drain_hurried", drain.hurried});
-    add_connections(counters, "", front.connection_manager());
-    if (signed_front) add_connections(counters, "signed_", signed_front->connection_manager());
+    add_connections(counters, "", server.connection_manager());
+    if (signed_server) add_connections(counters, "signed_", signed_server->connection_manager());
     return counters;
 }
 
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -1,4 +1,4 @@
-// The counters that GET /ops/stats shows: connections by state, why they ended, what requests came to.
+// The counters of GET /ops/stats: connections by state, their close reasons, and the outcomes of requests.
 #pragma once
 
 #include <vector>
@@ -10,8 +10,8 @@
 
 namespace sumackeel::daemon {
 
-// `signed_front` may be null.
-std::vector<admin::Counter> counters_of(const core::Core& core, const platform_server::PlatformServer& front,
-                                        const signed_url_server::SignedUrlServer* signed_front);
+// `signed_server` may be null.
+std::vector<admin::Counter> counters_of(const core::Core& core, const platform_server::PlatformServer& server,
+                                        const signed_url_server::SignedUrlServer* signed_server);
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/process_signals.cpp
+++ b/src/daemon/process_signals.cpp
@@ -13,11 +13,11 @@
     uv_async_init(loop.raw(), &wakeup_,
                   [](uv_async_t* handle) { static_cast<ProcessSignals*>(handle->data)->handle_requests(); });
     wakeup_.data = this;
-    // The first signal handle of a process makes a pipe, which fails where descriptors are short.
-    const int failed = base::retry_at_startup([&] { return uv_signal_init(loop.raw(), &terminate_); });
-    if (failed != 0)
+    // The first signal handle of a process creates a pipe, which fails if no descriptors are left.
+    const int status = base::retry_at_startup([&] { return uv_signal_init(loop.raw(), &terminate_); });
+    if (status != 0)
         throw DaemonError(DaemonErrorCode::signals_unavailable,
-                          "signals can't be heard: " + base::describe_error(failed));
+                          "signal handling could not be started: " + base::describe_error(status));
     terminate_.data = this;
     uv_signal_start(
         &terminate_,
--- a/src/daemon/process_signals.h
+++ b/src/daemon/process_signals.h
@@ -1,4 +1,4 @@
-// Signals of the process and commands of other threads, brought to the loop's thread.
+// Delivers signals of the process and requests of other threads on the loop's thread.
 #pragma once
 
 #include <uv.h>
@@ -10,7 +10,7 @@
 
 namespace sumackeel::daemon {
 
-// Watches SIGTERM and SIGHUP, and lets other threads ask for the same by request_...().
+// Watches SIGTERM and SIGHUP, and lets other threads request the same by request_...().
 //
 // The handles live in this object, so it must outlive the loop, which closes them.
 class ProcessSignals {
@@ -27,8 +27,8 @@
     ProcessSignals& operator=(const ProcessSignals&) = delete;
     ~ProcessSignals() = default;
 
-    // Starts to watch and unblocks both signals, so that those sent while the program started are handled
-    // now. Throws DaemonError where the system has no descriptors left.
+    // Starts watching and unblocks both signals, so that signals sent during startup are handled now. Throws
+    // DaemonError if the system has no descriptors left.
     void start(net::Loop& loop, Handlers handlers);
 
     // From any thread, after start().
--- a/src/daemon/reload.h
+++ b/src/daemon/reload.h
@@ -1,5 +1,5 @@
-// Reads the configuration anew and checks its expectations, off the loop: a disk may hang, and the worlds of
-// a check take seconds.
+// Reloads the configuration and checks its expectations on a background thread: a disk may hang, and the
+// fault scenarios of a check take seconds.
 #pragma once
 
 #include <atomic>
@@ -18,37 +18,38 @@
 
 class Reload {
   public:
-    using TakeUp = std::function<void(const config::Config& config, const config::Operator& setup)>;
+    using ApplyConfig = std::function<void(const config::Config& config, const config::Operator& setup)>;
 
-    // `take_up` gets what was read, where it can be used and breaks no expectation that it must hold.
-    Reload(net::Loop& loop, Files files, TakeUp take_up);
-    ~Reload();  // ends a check that is under way
+    // `apply_config` is called with the configuration that was read if it is valid and breaks no expectation
+    // that it is required to hold.
+    Reload(net::Loop& loop, Files files, ApplyConfig apply_config);
+    ~Reload();  // ends a check that is in progress
     Reload(const Reload&) = delete;
     Reload& operator=(const Reload&) = delete;
 
-    // One at a time: asked for while one is under way, a further one follows it.
+    // Runs one reload at a time: if called during one, another one follows it.
     void start();
     bool busy() const { return reading_.busy(); }
-    std::uint64_t decided() const { return decided_; }  // taken up or not; from any thread
+    std::uint64_t completed() const { return completed_; }  // reloads applied or rejected; from any thread
 
   private:
-    // What was read, and what was found when its expectations were checked.
-    struct Fresh {
+    // The configuration that was read, and the result of the check of its expectations.
+    struct ReadResult {
         config::Config config;
         config::Operator setup;
         GateVerdict verdict;
-        bool checks = false;             // the expectations were to be checked
-        std::string fault, check_fault;  // of the files, of the expectations
+        bool check_required = false;     // the expectations have to be checked
+        std::string error, check_error;  // from reading the files, from checking the expectations
     };
-    static void read(const Files& files, const std::atomic<bool>& ending, Fresh& fresh);
-    void decide(const Fresh& fresh);
+    static void read(const Files& files, const std::atomic<bool>& cancelled, ReadResult& result);
+    void finish(const ReadResult& result);
 
     const Files files_;
-    const TakeUp take_up_;
+    const ApplyConfig apply_config_;
     net::BackgroundTask reading_;
-    std::shared_ptr<std::atomic<bool>> ending_ = std::make_shared<std::atomic<bool>>(false);
-    bool again_ = false;
-    std::atomic<std::uint64_t> decided_ = 0;
+    std::shared_ptr<std::atomic<bool>> cancelled_ = std::make_shared<std::atomic<bool>>(false);
+    bool reload_again_ = false;
+    std::atomic<std::uint64_t> completed_ = 0;
 };
 
 }  // namespace sumackeel::daemon
