--- a/src/daemon/drain_report.cpp
+++ b/src/daemon/drain_report.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr base::Micros kAllClosedAfter =
-    4'000'000;  // as documented for operators: from then on no connection is held open
+// As documented for operators: from then on no connection is held open.
+constexpr base::Micros kAllClosedAfter = 4'000'000;
 
 // The number of connections, in total and by state.
 std::string describe(const net::ConnectionManager& connections) {
--- a/src/daemon/drain_report.h
+++ b/src/daemon/drain_report.h
@@ -29,8 +29,7 @@
     const platform_server::PlatformServer& server_;
     const signed_url_server::SignedUrlServer* signed_server_;
     admin::DrainSchedule drain_;
-    std::shared_ptr<bool>
-        current_drain_;  // renewed with each drain; pending timers of an earlier drain do nothing
+    std::shared_ptr<bool> current_drain_;  // renewed with each drain; timers of an earlier one do nothing
 };
 
 }  // namespace sumackeel::daemon
--- a/src/daemon/endpoint_manager.cpp
+++ b/src/daemon/endpoint_manager.cpp
@@ -19,8 +19,8 @@
 // Upper bound of the time from a purge to its event, with a margin for a change log that confirmed the list
 // while an event was still on its way.
 constexpr Micros kPurgeEventDelay = 1'000'000;
-constexpr std::size_t kMaxStartTimes =
-    200'000;  // of all endpoints ever reported; beyond it they are converted anew
+// Start times of all endpoints ever reported; beyond this number they are converted again.
+constexpr std::size_t kMaxStartTimes = 200'000;
 
 endpoints::ViewOptions view_options(const config::Config& config, const config::Operator& setup) {
     endpoints::ViewOptions options;
@@ -35,7 +35,8 @@
     return options;
 }
 
-// If the platform's change log is the only source, it is polled every 100 ms, so its events arrive soon.
+// Without [discovery] the platform's change log is the only source and the defaults apply: a lost connection
+// is retried every 100 ms, so its events are assumed to arrive soon.
 endpoints::WatchOptions watch_options(const config::Operator& setup) {
     endpoints::WatchOptions options;
     if (setup.discovery) {
--- a/src/daemon/handover_directory.cpp
+++ b/src/daemon/handover_directory.cpp
@@ -191,7 +191,7 @@
     return {};
 }
 
-// The lock first: of a process that has ended, what is read then is its last word.
+// Checks the lock before reading the file: if the process has ended, the content read afterwards is final.
 std::string HandoverDirectory::read_writer(const std::string& writer, const HandoverPass& pass,
                                            HandoverScan& scan) {
     const bool has_ended = lock_state(writer) == LockState::free;
--- a/src/daemon/handover_directory.h
+++ b/src/daemon/handover_directory.h
@@ -19,8 +19,7 @@
 struct HandoverPass {
     std::string own_text;                    // empty: the own file stays as it is
     std::vector<std::string> ended_writers;  // their files were merged into the own text
-    std::string
-        legacy_text;  // empty: the legacy file stays as it is; else written unless another process did
+    std::string legacy_text;       // empty: the legacy file stays as it is; else written unless another did
     bool read_always = true;       // else only if something may have changed since the last pass
     bool skip_unreadable = false;  // a file that can't be read counts as empty
 };
--- a/src/daemon/lease_controller.cpp
+++ b/src/daemon/lease_controller.cpp
@@ -51,8 +51,8 @@
         [&parts] { return parts.admin_state.is_ready(); });
 }
 
-// A drain that another process of this proxy has stopped is not begun anew for the same lease, which this one
-// may still show for a moment.
+// A drain that another process of this proxy has stopped is not started again for the same lease, which this
+// one may still show for a moment.
 void LeaseController::adopt_drain_request() {
     const bool was_wanted = std::exchange(drain_wanted_, components_.admin_state.drain_requested());
     if (!was_wanted || drain_wanted_ || !components_.consensus_client) return;
