--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -14,13 +14,13 @@
 
 namespace sumackeel::daemon {
 
-// The components and the controllers that let them work together. The signals' handles must outlive the loop,
+// The components and the controllers that connect them. The signals' handles must outlive the loop,
 // which closes them.
 class Daemon::Process {
   public:
     Process(const config::Config& config, const config::Operator& setup, Files files)
         : components_(config, setup, std::move(files),
-                      {.handover = {.taken = [this] { startup_.on_state_taken_over(); },
+                      {.handover = {.taken_over = [this] { startup_.on_state_taken_over(); },
                                     .followed =
                                         [this] {
                                             leases_.adopt_drain_request();
@@ -123,7 +123,7 @@
 }
 
 std::uint64_t Daemon::reloads() const {
-    return process_->components().reload.decided();
+    return process_->components().reload.completed();
 }
 
 int Daemon::ops_port() const {
