--- a/src/signed_url_server/tokens.cpp
+++ b/src/signed_url_server/tokens.cpp
@@ -218,8 +218,7 @@
                                                    reinterpret_cast<const std::uint8_t*>(payload.data()),
                                                    payload.size(), &err)
                                   : nullptr);
-    if (!jws || !cjose_jws_export(jws.get(), &text, &err))
-        throw ConfigError("key '" + kid + "' can't sign");
+    if (!jws || !cjose_jws_export(jws.get(), &text, &err)) throw ConfigError("key '" + kid + "' can't sign");
     return text;
 }
 
