--- a/src/expectations/evaluator.cpp
+++ b/src/expectations/evaluator.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr int kMostTries = 600;  // runs that a search for a smaller counterexample may take
+constexpr int kMaxShrinkRuns = 600;  // simulation runs for the search of a smaller counterexample
 
 }  // namespace
 
-const char* name_of(Conclusion holds) {
-    switch (holds) {
+const char* name_of(Conclusion conclusion) {
+    switch (conclusion) {
         case Conclusion::yes:
             return "holds";
         case Conclusion::broken:
@@ -50,239 +50,248 @@
             k < n ? boost::math::quantile(beta_distribution<>(k + 1, n - k), 1 - tail) : 1};
 }
 
-Evaluation verdict_of(const Expectation& one, const Counts& tally) {
-    Evaluation verdict;
-    if (tally.applied == 0) {
-        verdict.text = "no run came to what it is about";
-        return verdict;
+Evaluation verdict_of(const Expectation& expectation, const Counts& counts) {
+    Evaluation evaluation;
+    if (counts.applied == 0) {
+        evaluation.text = "no run came to what it is about";
+        return evaluation;
     }
-    if (!is_share(one.rule)) {
-        verdict.holds = tally.broken ? Conclusion::broken : Conclusion::yes;
-        verdict.text = fmt::format("{} times, {} broken", tally.applied, tally.broken);
-        return verdict;
+    if (!is_share(expectation.rule)) {
+        evaluation.holds = counts.broken ? Conclusion::broken : Conclusion::yes;
+        evaluation.text = fmt::format("{} times, {} broken", counts.applied, counts.broken);
+        return evaluation;
     }
-    const Bounds bounds = verdict.bounds = bounds_of(tally.counted, tally.applied, one.confidence);
-    const bool least = one.rule == Rule::share_at_least;
-    const bool kept = least ? bounds.lower >= one.limit : bounds.upper <= one.limit;
-    const bool past = least ? bounds.upper < one.limit : bounds.lower > one.limit;
-    verdict.holds = kept ? Conclusion::yes : past ? Conclusion::broken : Conclusion::undecided;
-    verdict.text = fmt::format("{} of {}, {:.4f} ({:.4f} to {:.4f})", tally.counted, tally.applied,
-                               bounds.share, bounds.lower, bounds.upper);
-    return verdict;
+    const Bounds bounds = evaluation.bounds =
+        bounds_of(counts.counted, counts.applied, expectation.confidence);
+    const bool is_minimum = expectation.rule == Rule::share_at_least;
+    const bool satisfied = is_minimum ? bounds.lower >= expectation.limit : bounds.upper <= expectation.limit;
+    const bool violated = is_minimum ? bounds.upper < expectation.limit : bounds.lower > expectation.limit;
+    evaluation.holds = satisfied ? Conclusion::yes : violated ? Conclusion::broken : Conclusion::undecided;
+    evaluation.text = fmt::format("{} of {}, {:.4f} ({:.4f} to {:.4f})", counts.counted, counts.applied,
+                                  bounds.share, bounds.lower, bounds.upper);
+    return evaluation;
 }
 
 std::string Evaluator::name(int member) const {
     return member < 0 ? "nobody" : fleet_.name(static_cast<std::size_t>(member));
 }
 
-bool Evaluator::conditions_hold(std::size_t place, const std::vector<NotifiedStateSince>& notified) const {
-    const auto& conditions = expectations_[place].conditions;
+bool Evaluator::conditions_hold(std::size_t index, const std::vector<NotifiedStateSince>& notified) const {
+    const auto& conditions = expectations_[index].conditions;
     for (std::size_t c = 0; c < conditions.size(); ++c) {
-        const std::vector<bool>& members = conditions_[place][c];
+        const std::vector<bool>& members = conditions_[index][c];
         bool any = false, every = true;
         for (std::size_t i = 0; i < notified.size(); ++i) {
             if (!members[i]) continue;
-            const bool is = notified[i].notified == conditions[c].is;
-            any = any || is;
-            every = every && is;
+            const bool in_state = notified[i].notified == conditions[c].is;
+            any = any || in_state;
+            every = every && in_state;
         }
         if (!(conditions[c].all ? every : any)) return false;
     }
     return true;
 }
 
-// `words` is only called for the first break.
+// `describe` is only called for the first violation.
 template <typename Words>
-void Evaluator::allow(std::size_t place, bool allowed, Micros at, int request, const Words& words) {
-    Counts& tally = tallies_[place];
-    ++tally.applied;
+void Evaluator::record_check(std::size_t index, bool allowed, Micros at, int request, const Words& describe) {
+    Counts& counts = counts_[index];
+    ++counts.applied;
     if (allowed) return;
-    ++tally.broken;
-    if (!tally.first) tally.first = Violation{world_.number, at, request, words()};
+    ++counts.broken;
+    if (!counts.first) counts.first = Violation{scenario_.number, at, request, describe()};
 }
 
-// NOLINTNEXTLINE(readability-function-size): one case a rule
-void Evaluator::on_decision(const SimulatedRequest& ask, const Decision& made,
+// NOLINTNEXTLINE(readability-function-size): one case per rule
+void Evaluator::on_decision(const SimulatedRequest& request, const Decision& decision,
                             const std::vector<NotifiedStateSince>& notified) {
     ++decisions_;
-    const std::string object = has_patterns_ ? object_name(ask.object) : "";
-    const int group = group_of(ask.object);
-    const bool fill = made.source >= 0;
-    const auto in_group = [&](std::size_t place, int member) {
-        return member >= 0 && groups_[place][member];
+    const std::string object = has_patterns_ ? object_name(request.object) : "";
+    const int group = group_of(request.object);
+    const bool fill = decision.source >= 0;
+    const auto in_group = [&](std::size_t index, int member) {
+        return member >= 0 && groups_[index][member];
     };
-    const auto what = [&] {
-        return fmt::format("request {}, attempt {}, goes to {}{}", made.request, made.attempt,
-                           name(made.target), fill ? ", filled from " + name(made.source) : "");
+    const auto describe_decision = [&] {
+        return fmt::format("request {}, attempt {}, goes to {}{}", decision.request, decision.attempt,
+                           name(decision.target), fill ? ", filled from " + name(decision.source) : "");
     };
     for (std::size_t i = 0; i < expectations_.size(); ++i) {
-        const Expectation& one = expectations_[i];
-        if (!one.concerns(ask.class_index, world_.zone, object, group)) continue;
-        if (!one.conditions.empty() && !conditions_hold(i, notified)) continue;
-        const auto judge = [&](bool allowed, const auto& words) {
-            allow(i, allowed, made.at, made.request, words);
+        const Expectation& expectation = expectations_[i];
+        if (!expectation.concerns(request.class_index, scenario_.zone, object, group)) continue;
+        if (!expectation.conditions.empty() && !conditions_hold(i, notified)) continue;
+        const auto check = [&](bool allowed, const auto& describe) {
+            record_check(i, allowed, decision.at, decision.request, describe);
         };
-        switch (one.rule) {
+        switch (expectation.rule) {
             case Rule::never_fills_from:
-                if (fill) judge(!in_group(i, made.source), what);
+                if (fill) check(!in_group(i, decision.source), describe_decision);
                 break;
             case Rule::fills_from:
-                if (fill) judge(in_group(i, made.source), what);
+                if (fill) check(in_group(i, decision.source), describe_decision);
                 break;
             case Rule::only_at:
-                judge(in_group(i, made.target), what);
+                check(in_group(i, decision.target), describe_decision);
                 break;
             case Rule::share_at_most:
             case Rule::share_at_least:
-                ++tallies_[i].applied;
-                tallies_[i].counted += in_group(i, made.target);
+                ++counts_[i].applied;
+                counts_[i].counted += in_group(i, decision.target);
                 break;
             case Rule::fails_over_within:
-                if (made.attempt > 0 && made.target != made.first_target) {
-                    const double ms = static_cast<double>(made.at - made.first_at) / 1e3;
-                    judge(ms <= one.limit,
-                          [&] { return fmt::format("{}, {:.0f} ms after its first attempt", what(), ms); });
+                if (decision.attempt > 0 && decision.target != decision.first_target) {
+                    const double ms = static_cast<double>(decision.at - decision.first_at) / 1e3;
+                    check(ms <= expectation.limit, [&] {
+                        return fmt::format("{}, {:.0f} ms after its first attempt", describe_decision(), ms);
+                    });
                 }
                 break;
             case Rule::never_twice:
-                if (fleet_.site.settings.classes[ask.class_index].retry_safety !=
+                if (fleet_.site.settings.classes[request.class_index].retry_safety !=
                     routing::RetrySafety::idempotent)
-                    judge(!made.may_have_run, [&] { return what() + ", though it may have run"; });
+                    check(!decision.may_have_run,
+                          [&] { return describe_decision() + ", though it may have run"; });
                 break;
             case Rule::kept_at_rank:
-                if (fill && fleet_.kind_of(made.target) == Kind::cache &&
-                    !fleet_.site.settings.classes[ask.class_index].uncacheable)
-                    judge(made.rank == static_cast<int>(one.limit),
-                          [&] { return fmt::format("{}, kept at rank {}", what(), made.rank); });
+                if (fill && fleet_.kind_of(decision.target) == Kind::cache &&
+                    !fleet_.site.settings.classes[request.class_index].uncacheable)
+                    check(decision.rank == static_cast<int>(expectation.limit), [&] {
+                        return fmt::format("{}, kept at rank {}", describe_decision(), decision.rank);
+                    });
                 break;
             case Rule::no_new_work_after: {
-                const auto bound = static_cast<Micros>(one.limit * 1e6);
+                const auto bound = static_cast<Micros>(expectation.limit * 1e6);
                 bool out = false, late = false;
-                std::string who;
-                for (const int member : {made.target, made.source}) {
+                std::string late_member;
+                for (const int member : {decision.target, decision.source}) {
                     if (member < 0) continue;
                     const NotifiedStateSince& state = notified[member];
                     if (state.notified != NotifiedState::draining && state.notified != NotifiedState::gone)
                         continue;
                     out = true;
-                    if (made.at - state.since > bound) late = true, who = name(member);
+                    if (decision.at - state.since > bound) late = true, late_member = name(member);
                 }
-                // It is about each decision taken while somebody is out: there it could have been broken.
-                const bool somebody =
+                // Applies to each decision made while a member has been out for longer: only those can
+                // violate it.
+                const bool any_out =
                     std::any_of(notified.begin(), notified.end(), [&](const NotifiedStateSince& state) {
                         return (state.notified == NotifiedState::draining ||
                                 state.notified == NotifiedState::gone) &&
-                               made.at - state.since > bound;
+                               decision.at - state.since > bound;
+                    });
+                if (any_out || out)
+                    check(!late, [&] {
+                        return fmt::format("{}, though {} was told to be out", describe_decision(),
+                                           late_member);
                     });
-                if (somebody || out)
-                    judge(!late,
-                          [&] { return fmt::format("{}, though {} was told to be out", what(), who); });
                 break;
             }
             case Rule::refused_at_most:
             case Rule::attempts_at_most:
-                break;  // at the request's end
+                break;  // checked in on_request_finished
         }
     }
 }
 
-void Evaluator::on_request_finished(const SimulatedRequest& ask, const RequestResult& end,
+void Evaluator::on_request_finished(const SimulatedRequest& request, const RequestResult& result,
                                     const std::vector<NotifiedStateSince>& notified) {
-    const std::string object = has_patterns_ ? object_name(ask.object) : "";
+    const std::string object = has_patterns_ ? object_name(request.object) : "";
     for (std::size_t i = 0; i < expectations_.size(); ++i) {
-        const Expectation& one = expectations_[i];
-        if (one.rule != Rule::refused_at_most && one.rule != Rule::attempts_at_most) continue;
-        if (!one.concerns(ask.class_index, world_.zone, object, group_of(ask.object))) continue;
-        if (!one.conditions.empty() && !conditions_hold(i, notified)) continue;
-        if (one.rule == Rule::attempts_at_most) {
-            allow(i, end.attempts <= one.limit, ask.at + end.elapsed, end.request,
-                  [&] { return fmt::format("request {} took {} attempts", end.request, end.attempts); });
+        const Expectation& expectation = expectations_[i];
+        if (expectation.rule != Rule::refused_at_most && expectation.rule != Rule::attempts_at_most) continue;
+        if (!expectation.concerns(request.class_index, scenario_.zone, object, group_of(request.object)))
+            continue;
+        if (!expectation.conditions.empty() && !conditions_hold(i, notified)) continue;
+        if (expectation.rule == Rule::attempts_at_most) {
+            record_check(
+                i, result.attempts <= expectation.limit, request.at + result.elapsed, result.request,
+                [&] { return fmt::format("request {} took {} attempts", result.request, result.attempts); });
             continue;
         }
-        ++tallies_[i].applied;
-        tallies_[i].counted += end.outcome != RequestOutcome::served;
+        ++counts_[i].applied;
+        counts_[i].counted += result.outcome != RequestOutcome::served;
     }
 }
 
-Outcome run_world(const Scenario& world, const FleetModel& fleet, const Suite& suite) {
-    Evaluator judge(fleet, suite.expectations, world);
-    const std::vector<SimulatedRequest> asks = traffic_of(world, fleet, suite.traffic);
-    simulate(world, fleet, asks, judge);
-    return {judge.tallies(), judge.decisions(), asks.size()};
+Outcome run_world(const Scenario& scenario, const FleetModel& fleet, const Suite& suite) {
+    Evaluator evaluator(fleet, suite.expectations, scenario);
+    const std::vector<SimulatedRequest> requests = traffic_of(scenario, fleet, suite.traffic);
+    simulate(scenario, fleet, requests, evaluator);
+    return {evaluator.tallies(), evaluator.decisions(), requests.size()};
 }
 
 namespace {
 
-// Whether this still breaks the one expectation, and where first.
-std::optional<Violation> breaks(const Scenario& world, const FleetModel& fleet,
-                                const std::vector<Expectation>& one,
-                                const std::vector<SimulatedRequest>& asks) {
-    Evaluator judge(fleet, one, world);
-    simulate(world, fleet, asks, judge);
-    return judge.tallies()[0].first;
+// The first violation of the one expectation, if there is any.
+std::optional<Violation> find_violation(const Scenario& scenario, const FleetModel& fleet,
+                                        const std::vector<Expectation>& one,
+                                        const std::vector<SimulatedRequest>& requests) {
+    Evaluator evaluator(fleet, one, scenario);
+    simulate(scenario, fleet, requests, evaluator);
+    return evaluator.tallies()[0].first;
 }
 
-std::size_t members_in(const std::vector<FaultEvent>& happenings) {
+std::size_t members_in(const std::vector<FaultEvent>& faults) {
     std::set<int> members;
-    for (const FaultEvent& one : happenings) members.insert(one.member);
+    for (const FaultEvent& event : faults) members.insert(event.member);
     return members.size();
 }
 
 }  // namespace
 
-std::optional<Counterexample> shrink(const Scenario& world, const FleetModel& fleet, const Suite& suite,
-                                     std::size_t place) {
-    const std::vector<Expectation> one{suite.expectations[place]};
-    Counterexample best{world, traffic_of(world, fleet, suite.traffic), {}, 0};
-    auto found = breaks(best.world, fleet, one, best.asks);
-    if (!found) return std::nullopt;
-    best.broken = *found;
-    const auto still = [&](const Scenario& smaller, const std::vector<SimulatedRequest>& asks) {
-        if (best.tried >= kMostTries) return false;
+std::optional<Counterexample> shrink(const Scenario& scenario, const FleetModel& fleet, const Suite& suite,
+                                     std::size_t index) {
+    const std::vector<Expectation> one{suite.expectations[index]};
+    Counterexample best{scenario, traffic_of(scenario, fleet, suite.traffic), {}, 0};
+    auto violation = find_violation(best.world, fleet, one, best.asks);
+    if (!violation) return std::nullopt;
+    best.broken = *violation;
+    const auto try_smaller = [&](const Scenario& smaller, const std::vector<SimulatedRequest>& requests) {
+        if (best.tried >= kMaxShrinkRuns) return false;
         ++best.tried;
-        const auto broken = breaks(smaller, fleet, one, asks);
+        const auto broken = find_violation(smaller, fleet, one, requests);
         if (!broken) return false;
         best.world = smaller;
-        best.asks = asks;
+        best.asks = requests;
         best.broken = *broken;
         return true;
     };
-    const auto only_until_the_break = [&] {
-        std::vector<SimulatedRequest> asks;
-        for (const SimulatedRequest& ask : best.asks)
-            if (ask.at <= best.broken.at) asks.push_back(ask);
-        if (asks.size() < best.asks.size()) still(best.world, asks);
+    const auto drop_requests_after_violation = [&] {
+        std::vector<SimulatedRequest> requests;
+        for (const SimulatedRequest& request : best.asks)
+            if (request.at <= best.broken.at) requests.push_back(request);
+        if (requests.size() < best.asks.size()) try_smaller(best.world, requests);
     };
-    only_until_the_break();
-    // Whole members first, then single happenings.
+    drop_requests_after_violation();
+    // Drops all fault events of a member first, then single ones.
     for (bool smaller = true; smaller;) {
         smaller = false;
         std::set<int> members;
-        for (const FaultEvent& happening : best.world.faults) members.insert(happening.member);
+        for (const FaultEvent& fault : best.world.faults) members.insert(fault.member);
         for (const int member : members) {
             Scenario without = best.world;
             std::erase_if(without.faults, [&](const FaultEvent& h) { return h.member == member; });
-            smaller = still(without, best.asks) || smaller;
+            smaller = try_smaller(without, best.asks) || smaller;
         }
         for (std::size_t i = 0; i < best.world.faults.size(); ++i) {
             Scenario without = best.world;
             without.faults.erase(without.faults.begin() + static_cast<std::ptrdiff_t>(i));
-            if (still(without, best.asks)) smaller = true, --i;
+            if (try_smaller(without, best.asks)) smaller = true, --i;
         }
     }
-    // Requests: halves, quarters, … are left out, down to single ones.
-    only_until_the_break();
+    // Drops requests: halves first, then quarters, down to single ones.
+    drop_requests_after_violation();
     for (std::size_t chunk = std::max<std::size_t>(1, best.asks.size() / 2);; chunk /= 2) {
         for (std::size_t from = 0; from < best.asks.size();) {
             std::vector<SimulatedRequest> rest = best.asks;
             rest.erase(rest.begin() + static_cast<std::ptrdiff_t>(from),
                        rest.begin() + static_cast<std::ptrdiff_t>(std::min(from + chunk, rest.size())));
-            if (rest.empty() || !still(best.world, rest)) from += chunk;
+            if (rest.empty() || !try_smaller(best.world, rest)) from += chunk;
         }
         if (chunk == 1) break;
     }
     best.world.title = fmt::format("{} members in trouble, {} requests, out of: {}",
-                                   members_in(best.world.faults), best.asks.size(), world.title);
+                                   members_in(best.world.faults), best.asks.size(), scenario.title);
     return best;
 }
 
--- a/src/expectations/simulation.cpp
+++ b/src/expectations/simulation.cpp
@@ -17,47 +17,48 @@
 namespace {
 
 constexpr Micros kMs = 1'000;
-constexpr Micros kBegin =
-    1'700'000'000LL * base::kSecond;     // any moment will do; the router has no other clock
-constexpr Micros kRefusal = 1 * kMs;     // a connection refused, or a box that is full, says so at once
-constexpr Micros kNear = 2 * kMs;        // to a box of the school and back
-constexpr Micros kFillWay = 40 * kMs;    // to a source's first byte
-constexpr Micros kOriginWay = 60 * kMs;  // the same through a parent from the origin
-constexpr Micros kNotificationDelay = 2'000 * kMs;  // the list knows of a death this long after it
-constexpr double kColdPace = 3;                     // a box at its coldest takes this many times as long
+constexpr Micros kStartTime = 1'700'000'000LL * base::kSecond;  // arbitrary; the router has no other clock
+constexpr Micros kRejectionDelay = 1 * kMs;         // until a refused connection or an overloaded response
+constexpr Micros kZoneRoundTrip = 2 * kMs;          // to an endpoint of the zone and back
+constexpr Micros kSourceFirstByte = 40 * kMs;       // until a source's first byte
+constexpr Micros kOriginFirstByte = 60 * kMs;       // the same from the origin through a parent
+constexpr Micros kNotificationDelay = 2'000 * kMs;  // from a failure until the endpoint list says so
+constexpr double kColdSlowdown = 3;                 // transfer time of a just restarted endpoint, relative
 
 struct MemberState {
-    bool refuses = false, silent = false, fails_fills = false, full = false, stale = false;
-    Micros cold_since = -1;               // below 0: warm
-    std::set<std::pair<int, int>> holds;  // object and part
+    bool refuses_connections = false, unresponsive = false, fails_fills = false, full = false,
+         reports_stale_load = false;
+    Micros cold_since = -1;                // negative: warm
+    std::set<std::pair<int, int>> copies;  // by object and part
 };
 
-struct Open {
-    const SimulatedRequest* ask = nullptr;
+struct OpenRequest {
+    const SimulatedRequest* request = nullptr;
     int attempts = 0;
     bool may_have_run = false;
     Micros deadline = 0;
     Micros first_at = 0;
     int first_target = -1;
-    std::map<int, std::pair<int, int>> out;  // attempt to target and source
+    std::map<int, std::pair<int, int>> in_flight;  // target and source by attempt
 };
 
 class Run {
   public:
-    Run(const Scenario& world, const FleetModel& fleet, const std::vector<SimulatedRequest>& asks,
-        SimulationObserver& watcher)
-        : world_(world),
+    Run(const Scenario& scenario, const FleetModel& fleet, const std::vector<SimulatedRequest>& requests,
+        SimulationObserver& observer)
+        : scenario_(scenario),
           fleet_(fleet),
-          asks_(asks),
-          watcher_(watcher),
-          settings_(settings_of(fleet, world)),
-          router_(settings_, world.seed),
+          requests_(requests),
+          observer_(observer),
+          settings_(settings_of(fleet, scenario)),
+          router_(settings_, scenario.seed),
           members_(fleet.members.size()),
           notified_(fleet.members.size()) {
-        for (std::size_t i = 0; i < fleet.members.size(); ++i) places_[fleet.name(i)] = static_cast<int>(i);
+        for (std::size_t i = 0; i < fleet.members.size(); ++i)
+            member_indices_[fleet.name(i)] = static_cast<int>(i);
     }
 
-    void go() {
+    void run() {
         std::vector<routing::Endpoint> entries;
         for (std::size_t i = 0; i < fleet_.members.size(); ++i) {
             routing::Endpoint entry = fleet_.members[i].endpoint;
@@ -66,94 +67,98 @@
                 entry.state == EndpointState::ready ? NotifiedState::up : NotifiedState::draining;
             entries.push_back(entry);
         }
-        for (const FaultEvent& one : world_.faults) at(one.at, [this, &one] { happen(one); });
-        feed(routing::EndpointUpdate{1, routing::EndpointUpdateKind::full, std::move(entries)},
-             [] { return "list: the whole fleet"; });
-        for (const SimulatedRequest& ask : asks_) at(ask.at, [this, &ask] { arrive(ask); });
-        // The last requests are followed to their end, and no further.
-        while (!due_.empty() && !watcher_.enough()) {
-            if (open_.empty() && arrived_ == asks_.size()) break;
-            Due next = std::move(const_cast<Due&>(due_.top()));
-            due_.pop();
-            now_ = next.when;
-            next.what();
+        for (const FaultEvent& event : scenario_.faults)
+            schedule(event.at, [this, &event] { apply_fault(event); });
+        deliver(routing::EndpointUpdate{1, routing::EndpointUpdateKind::full, std::move(entries)},
+                [] { return "list: the whole fleet"; });
+        for (const SimulatedRequest& request : requests_)
+            schedule(request.at, [this, &request] { receive_request(request); });
+        // Ends with the last request; timers that are still pending then are not run.
+        while (!callbacks_.empty() && !observer_.enough()) {
+            if (open_.empty() && received_ == requests_.size()) break;
+            ScheduledCallback next = std::move(const_cast<ScheduledCallback&>(callbacks_.top()));
+            callbacks_.pop();
+            now_ = next.due_at;
+            next.callback();
         }
     }
 
   private:
-    struct Due {
-        Micros when;
-        std::uint64_t order;  // of two at one moment the one set first comes first
-        std::function<void()> what;
-        bool operator<(const Due& other) const {
-            return std::tie(when, order) > std::tie(other.when, other.order);
+    struct ScheduledCallback {
+        Micros due_at;
+        std::uint64_t order;  // callbacks due at one moment run in the order in which they were scheduled
+        std::function<void()> callback;
+        bool operator<(const ScheduledCallback& other) const {
+            return std::tie(due_at, order) > std::tie(other.due_at, other.order);
         }
     };
 
-    static routing::Settings settings_of(const FleetModel& fleet, const Scenario& world) {
+    static routing::Settings settings_of(const FleetModel& fleet, const Scenario& scenario) {
         routing::Settings settings = fleet.site.settings;
-        settings.own_zone = world.zone;
+        settings.own_zone = scenario.zone;
         return settings;
     }
 
-    void at(Micros when, std::function<void()> what) {
-        due_.push({std::max(when, now_), order_++, std::move(what)});
+    void schedule(Micros due_at, std::function<void()> callback) {
+        callbacks_.push({std::max(due_at, now_), next_order_++, std::move(callback)});
     }
 
     template <typename Words>
-    void say(const Words& words) {
-        if (watcher_.wants_steps()) watcher_.step(now_, words());
+    void trace(const Words& describe) {
+        if (observer_.wants_steps()) observer_.step(now_, describe());
     }
 
-    // `words` is only called where somebody reads them.
+    // `describe` is only called if the observer wants steps.
     template <typename Words>
-    void feed(const routing::Event& event, const Words& words) {
-        say([&] { return "in   " + std::string(words()); });
+    void deliver(const routing::Event& event, const Words& describe) {
+        trace([&] { return "in   " + std::string(describe()); });
         std::vector<routing::Action> actions;
-        router_.handle(kBegin + now_, event, actions);
+        router_.handle(kStartTime + now_, event, actions);
         for (const routing::Action& action : actions)
-            std::visit([this](const auto& a) { carry_out(a); }, action);
+            std::visit([this](const auto& a) { execute(a); }, action);
     }
 
-    // ---- what goes wrong ----
-    void tell(int member, NotifiedState notified, Micros since_start = 0) {
+    // ---- faults ----
+    void notify(int member, NotifiedState notified, Micros since_start = 0) {
         routing::Endpoint entry = fleet_.members[member].endpoint;
         entry.state = notified == NotifiedState::gone       ? EndpointState::removed
                       : notified == NotifiedState::draining ? EndpointState::draining
                                                             : EndpointState::ready;
         entry.started_at = since_start;
         notified_[member] = {notified, now_};
-        feed(routing::EndpointUpdate{2, routing::EndpointUpdateKind::incremental, {entry}},
-             [&] { return fmt::format("list: {} is {}", entry.name, name_of(notified)); });
+        deliver(routing::EndpointUpdate{2, routing::EndpointUpdateKind::incremental, {entry}},
+                [&] { return fmt::format("list: {} is {}", entry.name, name_of(notified)); });
     }
 
-    void happen(const FaultEvent& one) {
-        MemberState& member = members_[one.member];
-        const bool tells = one.fault == FaultKind::drain || one.fault == FaultKind::back_cold;
-        if (!tells)
-            say([&] { return fmt::format("     {} {}", fleet_.name(one.member), name_of(one.fault)); });
-        switch (one.fault) {
+    void apply_fault(const FaultEvent& event) {
+        MemberState& member = members_[event.member];
+        const bool notifies_router = event.fault == FaultKind::drain || event.fault == FaultKind::back_cold;
+        if (!notifies_router)
+            trace([&] { return fmt::format("     {} {}", fleet_.name(event.member), name_of(event.fault)); });
+        switch (event.fault) {
             case FaultKind::drain:
-                return tell(one.member, NotifiedState::draining);
+                return notify(event.member, NotifiedState::draining);
             case FaultKind::dies:
             case FaultKind::vanishes:
-                member.refuses = one.fault == FaultKind::dies;
-                member.silent = one.fault == FaultKind::vanishes;
-                member.holds.clear();
-                if (member.refuses) break_off(one.member);
-                ++deaths_[one.member];
-                return at(now_ + kNotificationDelay, [this, who = one.member, death = deaths_[one.member]] {
-                    if (deaths_[who] == death) tell(who, NotifiedState::gone);
-                });
+                member.refuses_connections = event.fault == FaultKind::dies;
+                member.unresponsive = event.fault == FaultKind::vanishes;
+                member.copies.clear();
+                if (member.refuses_connections) reset_connections(event.member);
+                ++generations_[event.member];
+                return schedule(now_ + kNotificationDelay,
+                                [this, index = event.member, generation = generations_[event.member]] {
+                                    if (generations_[index] == generation) notify(index, NotifiedState::gone);
+                                });
             case FaultKind::back_cold:
                 member = MemberState{};
                 member.cold_since = now_;
-                ++deaths_[one.member];
-                at(now_ + warm_time(one.member), [this, who = one.member, life = deaths_[one.member]] {
-                    if (deaths_[who] == life && notified_[who].notified == NotifiedState::cold)
-                        notified_[who] = {NotifiedState::up, now_};
+                ++generations_[event.member];
+                schedule(now_ + warm_time(event.member), [this, index = event.member,
+                                                          generation = generations_[event.member]] {
+                    if (generations_[index] == generation && notified_[index].notified == NotifiedState::cold)
+                        notified_[index] = {NotifiedState::up, now_};
                 });
-                return tell(one.member, NotifiedState::cold, kBegin + now_);
+                return notify(event.member, NotifiedState::cold, kStartTime + now_);
             case FaultKind::fails_fills:
                 member.fails_fills = true;
                 return;
@@ -161,7 +166,7 @@
                 member.full = true;
                 return;
             case FaultKind::stale_report:
-                member.stale = true;
+                member.reports_stale_load = true;
                 return;
         }
     }
@@ -171,249 +176,266 @@
                                                       : settings_.warm_up_duration;
     }
 
-    // A process that dies resets what is open on its connections.
-    void break_off(int member) {
-        std::vector<std::pair<std::string, int>> lost;
+    // The connections of a terminated process are reset, which ends the attempts on them.
+    void reset_connections(int member) {
+        std::vector<std::pair<std::string, int>> lost_attempts;
         for (const auto& [id, open] : open_)
-            for (const auto& [attempt, where] : open.out)
-                if (where.first == member) lost.emplace_back(id, attempt);
-        for (const auto& each : lost)
-            at(now_, [this, id = each.first, attempt = each.second] {
-                land(id, attempt, AttemptStatus::connection_reset, CacheStatus::unknown, 0);
+            for (const auto& [attempt, where] : open.in_flight)
+                if (where.first == member) lost_attempts.emplace_back(id, attempt);
+        for (const auto& each : lost_attempts)
+            schedule(now_, [this, id = each.first, attempt = each.second] {
+                finish_attempt(id, attempt, AttemptStatus::connection_reset, CacheStatus::unknown, 0);
             });
     }
 
     // ---- requests ----
-    void arrive(const SimulatedRequest& ask) {
-        ++arrived_;
-        const auto& service = settings_.classes[ask.class_index];
-        routing::RequestReceived arrival;
-        arrival.id = std::to_string(ask.number);
-        arrival.class_index = ask.class_index;
-        arrival.object = object_name(ask.object);  // also of what is not kept: without one no source is named
-        arrival.purge_group = group_of(ask.object);
-        arrival.part = ask.part;
-        arrival.size_kb = ask.size_kb;
-        arrival.time_left = service.deadline;
-        arrival.write = service.uncacheable;
-        Open& open = open_[arrival.id];
-        open.ask = &ask;
+    void receive_request(const SimulatedRequest& request) {
+        ++received_;
+        const auto& service = settings_.classes[request.class_index];
+        routing::RequestReceived received;
+        received.id = std::to_string(request.number);
+        received.class_index = request.class_index;
+        received.object =
+            object_name(request.object);  // also if uncacheable: without one no source is selected
+        received.purge_group = group_of(request.object);
+        received.part = request.part;
+        received.size_kb = request.size_kb;
+        received.time_left = service.deadline;
+        received.write = service.uncacheable;
+        OpenRequest& open = open_[received.id];
+        open.request = &request;
         open.deadline = now_ + service.deadline;
-        at(open.deadline, [this, id = arrival.id] { give_up(id); });
-        feed(arrival, [&] {
-            return fmt::format("request {}: {} of object {}", ask.number,
-                               fleet_.site.classes[ask.class_index], arrival.object);
+        schedule(open.deadline, [this, id = received.id] { cancel_at_deadline(id); });
+        deliver(received, [&] {
+            return fmt::format("request {}: {} of object {}", request.number,
+                               fleet_.site.classes[request.class_index], received.object);
         });
     }
 
-    void finish(const std::string& id, RequestOutcome how) {
+    void finish(const std::string& id, RequestOutcome outcome) {
         const auto found = open_.find(id);
         if (found == open_.end()) return;
-        const Open open = std::move(found->second);
+        const OpenRequest open = std::move(found->second);
         open_.erase(found);
-        watcher_.on_request_finished(*open.ask, {open.ask->number, how, open.attempts, now_ - open.ask->at},
-                                     notified_);
+        observer_.on_request_finished(*open.request,
+                                      {open.request->number, outcome, open.attempts, now_ - open.request->at},
+                                      notified_);
     }
 
-    void give_up(const std::string& id) {
+    void cancel_at_deadline(const std::string& id) {
         if (!open_.contains(id)) return;
         finish(id, RequestOutcome::unanswered);
-        feed(routing::ClientCancelled{id}, [&] { return fmt::format("request {}: its client left", id); });
+        deliver(routing::ClientCancelled{id}, [&] { return fmt::format("request {}: its client left", id); });
     }
 
-    void land(const std::string& id, int attempt, AttemptStatus verdict, CacheStatus note,
-              Micros first_byte) {
+    void finish_attempt(const std::string& id, int attempt, AttemptStatus status, CacheStatus cache_status,
+                        Micros first_byte) {
         const auto found = open_.find(id);
-        routing::AttemptFinished outcome;
-        outcome.id = id;
-        outcome.attempt = attempt;
-        outcome.status = verdict;
-        outcome.cache_status = note;
-        outcome.time_to_first_byte = first_byte;
+        routing::AttemptFinished finished;
+        finished.id = id;
+        finished.attempt = attempt;
+        finished.status = status;
+        finished.cache_status = cache_status;
+        finished.time_to_first_byte = first_byte;
         const auto key = std::pair(id, attempt);
         const auto sent = sent_.find(key);
-        if (sent == sent_.end()) return;  // called off already
-        const auto [when, target] = sent->second;
+        if (sent == sent_.end()) return;  // already cancelled
+        const auto [sent_at, target] = sent->second;
         sent_.erase(sent);
-        outcome.endpoint = fleet_.name(target);
-        outcome.elapsed = now_ - when;
-        outcome.request_finished = verdict == AttemptStatus::served || found == open_.end();
-        if (members_[target].stale) outcome.load = {.in_flight = 500, .ingress_utilization = 20};
+        finished.endpoint = fleet_.name(target);
+        finished.elapsed = now_ - sent_at;
+        finished.request_finished = status == AttemptStatus::served || found == open_.end();
+        if (members_[target].reports_stale_load)
+            finished.load = {.in_flight = 500, .ingress_utilization = 20};
         if (found != open_.end()) {
-            found->second.out.erase(attempt);
-            const bool never_ran = verdict == AttemptStatus::overloaded ||
-                                   verdict == AttemptStatus::connect_failed ||
-                                   verdict == AttemptStatus::not_sent || verdict == AttemptStatus::not_found;
+            found->second.in_flight.erase(attempt);
+            const bool never_ran = status == AttemptStatus::overloaded ||
+                                   status == AttemptStatus::connect_failed ||
+                                   status == AttemptStatus::not_sent || status == AttemptStatus::not_found;
             if (!never_ran) found->second.may_have_run = true;
         }
-        const bool served = verdict == AttemptStatus::served && found != open_.end();
-        static constexpr const char* kVerdicts[] = {"served",     "error",         "full",
-                                                    "timed out",  "not connected", "broken off",
-                                                    "called off", "never sent",    "missing"};
-        feed(outcome, [&] {
-            return fmt::format("request {}: attempt {} at {}: {}", id, attempt, outcome.endpoint,
-                               kVerdicts[static_cast<std::size_t>(verdict)]);
+        const bool served = status == AttemptStatus::served && found != open_.end();
+        static constexpr const char* kStatusNames[] = {"served",     "error",         "full",
+                                                       "timed out",  "not connected", "broken off",
+                                                       "called off", "never sent",    "missing"};
+        deliver(finished, [&] {
+            return fmt::format("request {}: attempt {} at {}: {}", id, attempt, finished.endpoint,
+                               kStatusNames[static_cast<std::size_t>(status)]);
         });
         if (served) finish(id, RequestOutcome::served);
     }
 
     // ---- the router's actions ----
-    void carry_out(const routing::Forward& serve) { send(serve); }
-    void carry_out(const routing::Lookup& look) {
-        routing::Forward serve;
-        serve.id = look.id;
-        serve.endpoint = serve.source = look.endpoint;
-        serve.timeout = look.timeout;
-        send(serve);
+    void execute(const routing::Forward& forward) { send(forward); }
+    void execute(const routing::Lookup& lookup) {
+        routing::Forward forward;
+        forward.id = lookup.id;
+        forward.endpoint = forward.source = lookup.endpoint;
+        forward.timeout = lookup.timeout;
+        send(forward);
     }
-    void carry_out(const routing::SetTimer& timer) {
-        at(timer.at - kBegin, [this, token = timer.token] {
-            feed(routing::TimerExpired{token}, [&] { return fmt::format("timer {}", token); });
+    void execute(const routing::SetTimer& timer) {
+        schedule(timer.at - kStartTime, [this, token = timer.token] {
+            deliver(routing::TimerExpired{token}, [&] { return fmt::format("timer {}", token); });
         });
     }
-    void carry_out(const routing::Reject& refuse) {
-        say([&] { return fmt::format("out  request {}: refused", refuse.id); });
-        finish(refuse.id, RequestOutcome::rejected);
+    void execute(const routing::Reject& reject) {
+        trace([&] { return fmt::format("out  request {}: refused", reject.id); });
+        finish(reject.id, RequestOutcome::rejected);
     }
-    void carry_out(const routing::Fail& fail) {
-        say([&] { return fmt::format("out  request {}: failed", fail.id); });
+    void execute(const routing::Fail& fail) {
+        trace([&] { return fmt::format("out  request {}: failed", fail.id); });
         finish(fail.id, RequestOutcome::failed);
     }
-    void carry_out(const routing::Cancel& cancel) {
-        say([&] { return fmt::format("out  request {}: attempt {} called off", cancel.id, cancel.attempt); });
-        at(now_, [this, cancel] {
-            land(cancel.id, cancel.attempt, AttemptStatus::cancelled, CacheStatus::unknown, 0);
+    void execute(const routing::Cancel& cancel) {
+        trace(
+            [&] { return fmt::format("out  request {}: attempt {} called off", cancel.id, cancel.attempt); });
+        schedule(now_, [this, cancel] {
+            finish_attempt(cancel.id, cancel.attempt, AttemptStatus::cancelled, CacheStatus::unknown, 0);
         });
     }
-    void carry_out(const routing::LogMessage& line) {
-        say([&] { return "log  " + line.text; });
+    void execute(const routing::LogMessage& message) {
+        trace([&] { return "log  " + message.text; });
     }
     template <typename Other>
-    void carry_out(const Other&) {}  // none of the others bears on where a request goes
+    void execute(const Other&) {}  // the other actions do not affect routing
 
-    void send(const routing::Forward& serve) {
-        const auto found = open_.find(serve.id);
+    void send(const routing::Forward& forward) {
+        const auto found = open_.find(forward.id);
         if (found == open_.end()) return;
-        Open& open = found->second;
-        const int target = place_of(serve.endpoint), source = place_of(serve.source);
+        OpenRequest& open = found->second;
+        const int target = member_index(forward.endpoint), source = member_index(forward.source);
         Decision decision;
         decision.at = now_;
-        decision.request = open.ask->number;
+        decision.request = open.request->number;
         decision.attempt = open.attempts;
         decision.target = target;
         decision.source = source == target ? -1 : source < 0 ? -2 : source;
-        decision.rank = serve.cache_priority;
-        decision.may_have_run = open.may_have_run || !open.out.empty();
+        decision.rank = forward.cache_priority;
+        decision.may_have_run = open.may_have_run || !open.in_flight.empty();
         if (open.attempts == 0) open.first_at = now_, open.first_target = target;
         decision.first_at = open.first_at;
         decision.first_target = open.first_target;
-        say([&] {
-            return fmt::format("out  request {}: attempt {} to {}{}", serve.id, open.attempts, serve.endpoint,
-                               decision.source < 0 ? "" : ", filled from " + serve.source);
+        trace([&] {
+            return fmt::format("out  request {}: attempt {} to {}{}", forward.id, open.attempts,
+                               forward.endpoint,
+                               decision.source < 0 ? "" : ", filled from " + forward.source);
         });
-        watcher_.on_decision(*open.ask, decision, notified_);
+        observer_.on_decision(*open.request, decision, notified_);
         const int attempt = open.attempts++;
         if (target < 0) return;
-        open.out[attempt] = {target, source};
-        sent_[{serve.id, attempt}] = {now_, target};
-        answer(serve, *open.ask, attempt, target, decision.source, open.deadline);
+        open.in_flight[attempt] = {target, source};
+        sent_[{forward.id, attempt}] = {now_, target};
+        respond(forward, *open.request, attempt, target, decision.source, open.deadline);
     }
 
-    int place_of(const std::string& name) const {
-        const auto found = places_.find(name);
-        return found == places_.end() ? -1 : found->second;
+    int member_index(const std::string& name) const {
+        const auto found = member_indices_.find(name);
+        return found == member_indices_.end() ? -1 : found->second;
     }
 
-    // How long a transfer from this member takes against one that is warm.
-    double slowness(int member) const {
+    // Factor on the transfer time of a warm member.
+    double transfer_slowdown(int member) const {
         const MemberState& state = members_[member];
         if (state.cold_since < 0) return 1;
         const double warmed = static_cast<double>(now_ - state.cold_since) /
                               static_cast<double>(std::max<Micros>(1, warm_time(member)));
-        return std::max(1.0, kColdPace - (kColdPace - 1) * warmed);
+        return std::max(1.0, kColdSlowdown - (kColdSlowdown - 1) * warmed);
     }
 
-    void answer(const routing::Forward& serve, const SimulatedRequest& ask, int attempt, int target,
-                int source, Micros deadline) {
-        const auto later = [&](Micros after, AttemptStatus verdict, CacheStatus note = CacheStatus::unknown,
-                               Micros first_byte = 0) {
-            // Whatever comes after the attempt's own limit is not waited for.
+    void respond(const routing::Forward& forward, const SimulatedRequest& request, int attempt, int target,
+                 int source, Micros deadline) {
+        const auto finish_after = [&](Micros after, AttemptStatus status,
+                                      CacheStatus cache_status = CacheStatus::unknown,
+                                      Micros first_byte = 0) {
+            // An attempt ends at its own timeout or the request's deadline.
             const Micros limit =
-                serve.timeout > 0 ? std::min(serve.timeout, deadline - now_) : deadline - now_;
+                forward.timeout > 0 ? std::min(forward.timeout, deadline - now_) : deadline - now_;
             if (after > limit)
-                after = limit, verdict = AttemptStatus::timed_out, note = CacheStatus::unknown,
+                after = limit, status = AttemptStatus::timed_out, cache_status = CacheStatus::unknown,
                 first_byte = 0;
-            at(now_ + after, [this, id = serve.id, attempt, verdict, note, first_byte] {
-                land(id, attempt, verdict, note, first_byte);
+            schedule(now_ + after, [this, id = forward.id, attempt, status, cache_status, first_byte] {
+                finish_attempt(id, attempt, status, cache_status, first_byte);
             });
         };
         MemberState& member = members_[target];
-        const Micros connect = settings_.connect_timeout > 0 ? settings_.connect_timeout : 400 * kMs;
-        if (member.refuses) return later(kRefusal, AttemptStatus::connect_failed);
-        if (member.silent) return later(connect, AttemptStatus::connect_failed);
-        if (member.full) return later(kRefusal, AttemptStatus::overloaded);
-        const double pace = std::max(1.0, settings_.transfer_rate_kb_per_s);
-        const auto work = static_cast<Micros>(ask.size_kb / pace * 1e6 * slowness(target));
-        const std::pair<int, int> part{ask.object, ask.part};
+        const Micros connect_timeout = settings_.connect_timeout > 0 ? settings_.connect_timeout : 400 * kMs;
+        if (member.refuses_connections) return finish_after(kRejectionDelay, AttemptStatus::connect_failed);
+        if (member.unresponsive) return finish_after(connect_timeout, AttemptStatus::connect_failed);
+        if (member.full) return finish_after(kRejectionDelay, AttemptStatus::overloaded);
+        const double rate = std::max(1.0, settings_.transfer_rate_kb_per_s);
+        const auto transfer_time =
+            static_cast<Micros>(request.size_kb / rate * 1e6 * transfer_slowdown(target));
+        const std::pair<int, int> part{request.object, request.part};
         const bool origin = fleet_.kind_of(target) == Kind::origin;
-        const bool runs_there = settings_.classes[ask.class_index].uncacheable;
-        if (origin) return later(kOriginWay + work, AttemptStatus::served, CacheStatus::hit);
-        if (!runs_there && member.holds.contains(part))
-            return later(kNear + work, AttemptStatus::served, CacheStatus::hit);
-        if (source < 0) return later(kNear, AttemptStatus::not_found, CacheStatus::source_missing);
-        MemberState& from = members_[source];
-        if (from.refuses)
-            return later(kNear + kRefusal, AttemptStatus::error, CacheStatus::source_unreachable, kRefusal);
-        if (from.silent)
-            return later(connect, AttemptStatus::error, CacheStatus::source_unreachable, connect);
-        if (from.fails_fills || from.full)
-            return later(kNear + kFillWay, AttemptStatus::error, CacheStatus::source_rejected, kFillWay);
+        const bool uncacheable = settings_.classes[request.class_index].uncacheable;
+        if (origin)
+            return finish_after(kOriginFirstByte + transfer_time, AttemptStatus::served, CacheStatus::hit);
+        if (!uncacheable && member.copies.contains(part))
+            return finish_after(kZoneRoundTrip + transfer_time, AttemptStatus::served, CacheStatus::hit);
+        if (source < 0)
+            return finish_after(kZoneRoundTrip, AttemptStatus::not_found, CacheStatus::source_missing);
+        MemberState& source_state = members_[source];
+        if (source_state.refuses_connections)
+            return finish_after(kZoneRoundTrip + kRejectionDelay, AttemptStatus::error,
+                                CacheStatus::source_unreachable, kRejectionDelay);
+        if (source_state.unresponsive)
+            return finish_after(connect_timeout, AttemptStatus::error, CacheStatus::source_unreachable,
+                                connect_timeout);
+        if (source_state.fails_fills || source_state.full)
+            return finish_after(kZoneRoundTrip + kSourceFirstByte, AttemptStatus::error,
+                                CacheStatus::source_rejected, kSourceFirstByte);
         const bool from_origin = fleet_.kind_of(source) == Kind::origin;
-        const bool held = from_origin || from.holds.contains(part);
-        if (!held && fleet_.kind_of(source) == Kind::cache)
-            return later(kNear + kFillWay, AttemptStatus::not_found, CacheStatus::source_missing);
-        if (!held && serve.source_cached_only)
-            return later(kNear + kFillWay, AttemptStatus::not_found, CacheStatus::source_missing);
-        if (!held && !origin_up())
-            return later(kNear + kOriginWay, AttemptStatus::error, CacheStatus::origin_failed, kOriginWay);
-        const Micros way = held && !from_origin ? kFillWay : kOriginWay;
-        if (!runs_there) {
-            if (!held && !serve.parent_bypasses_cache) from.holds.insert(part);
-            if (serve.cache_priority > 0) member.holds.insert(part);
+        const bool source_has_copy = from_origin || source_state.copies.contains(part);
+        if (!source_has_copy && fleet_.kind_of(source) == Kind::cache)
+            return finish_after(kZoneRoundTrip + kSourceFirstByte, AttemptStatus::not_found,
+                                CacheStatus::source_missing);
+        if (!source_has_copy && forward.source_cached_only)
+            return finish_after(kZoneRoundTrip + kSourceFirstByte, AttemptStatus::not_found,
+                                CacheStatus::source_missing);
+        if (!source_has_copy && !origin_up())
+            return finish_after(kZoneRoundTrip + kOriginFirstByte, AttemptStatus::error,
+                                CacheStatus::origin_failed, kOriginFirstByte);
+        const Micros fill_delay = source_has_copy && !from_origin ? kSourceFirstByte : kOriginFirstByte;
+        if (!uncacheable) {
+            if (!source_has_copy && !forward.parent_bypasses_cache) source_state.copies.insert(part);
+            if (forward.cache_priority > 0) member.copies.insert(part);
         }
-        later(way + static_cast<Micros>(static_cast<double>(work) * 1.2), AttemptStatus::served,
-              held ? CacheStatus::filled : CacheStatus::filled_by_origin, way);
+        finish_after(fill_delay + static_cast<Micros>(static_cast<double>(transfer_time) * 1.2),
+                     AttemptStatus::served,
+                     source_has_copy ? CacheStatus::filled : CacheStatus::filled_by_origin, fill_delay);
     }
 
     bool origin_up() const {
         for (std::size_t i = 0; i < members_.size(); ++i)
             if (fleet_.kind_of(i) == Kind::origin)
-                return !members_[i].refuses && !members_[i].silent && !members_[i].fails_fills;
+                return !members_[i].refuses_connections && !members_[i].unresponsive &&
+                       !members_[i].fails_fills;
         return false;
     }
 
-    const Scenario& world_;
+    const Scenario& scenario_;
     const FleetModel& fleet_;
-    const std::vector<SimulatedRequest>& asks_;
-    SimulationObserver& watcher_;
+    const std::vector<SimulatedRequest>& requests_;
+    SimulationObserver& observer_;
     const routing::Settings settings_;
     routing::Router router_;
-    std::unordered_map<std::string, int> places_;
+    std::unordered_map<std::string, int> member_indices_;
     std::vector<MemberState> members_;
     std::vector<NotifiedStateSince> notified_;
-    std::map<int, int> deaths_;  // a later life makes what was to be told of an earlier one void
-    std::map<std::string, Open> open_;
+    std::map<int, int> generations_;  // pending notifications of an earlier generation are dropped
+    std::map<std::string, OpenRequest> open_;
     std::map<std::pair<std::string, int>, std::pair<Micros, int>> sent_;
-    std::priority_queue<Due> due_;
-    std::uint64_t order_ = 0;
-    std::size_t arrived_ = 0;
+    std::priority_queue<ScheduledCallback> callbacks_;
+    std::uint64_t next_order_ = 0;
+    std::size_t received_ = 0;
     Micros now_ = 0;
 };
 
 }  // namespace
 
-const char* name_of(RequestOutcome ended) {
-    switch (ended) {
+const char* name_of(RequestOutcome outcome) {
+    switch (outcome) {
         case RequestOutcome::served:
             return "served";
         case RequestOutcome::rejected:
@@ -426,9 +448,9 @@
     return "?";
 }
 
-void simulate(const Scenario& world, const FleetModel& fleet, const std::vector<SimulatedRequest>& asks,
-              SimulationObserver& watcher) {
-    Run(world, fleet, asks, watcher).go();
+void simulate(const Scenario& scenario, const FleetModel& fleet,
+              const std::vector<SimulatedRequest>& requests, SimulationObserver& observer) {
+    Run(scenario, fleet, requests, observer).run();
 }
 
 }  // namespace sumackeel::expectations
--- a/src/expectations/simulation.h
+++ b/src/expectations/simulation.h
@@ -1,5 +1,6 @@
-// Plays a world on a virtual clock: the real Router of one proxy, a fleet that answers it, and a watcher that
-// sees each decision. The same world gives the same run, whatever runs beside it.
+// Simulates a scenario on a virtual clock: the real Router of one proxy, an emulated fleet that responds to
+// it, and an observer that sees each decision. A scenario always gives the same run, also with others in
+// parallel.
 #pragma once
 
 #include <functional>
@@ -11,26 +12,26 @@
 
 namespace sumackeel::expectations {
 
-// One attempt that the router asked for.
+// One attempt that the router requested.
 struct Decision {
-    Micros at = 0;    // from the world's start
-    int request = 0;  // Ask::number
+    Micros at = 0;    // since the scenario's start
+    int request = 0;  // SimulatedRequest::number
     int attempt = 0;  // from 0
     int target = -1,
-        source = -1;  // members; source -1 or the target itself: no fill; -2: a name not in the fleet
+        source = -1;  // member indices; source -1: no fill (or from the target itself); -2: not in the fleet
     int rank = 0;
-    bool may_have_run = false;  // an attempt before it may have run
-    Micros first_at = 0;        // of the request's first attempt
+    bool may_have_run = false;  // an earlier attempt may have been executed
+    Micros first_at = 0;        // time of the request's first attempt
     int first_target = -1;
 };
 
 enum class RequestOutcome { served, rejected, failed, unanswered };
-const char* name_of(RequestOutcome ended);
+const char* name_of(RequestOutcome outcome);
 
-// What the proxy was told of each member, and since when.
+// The state of a member as the proxy was notified of it, and since when.
 struct NotifiedStateSince {
     NotifiedState notified = NotifiedState::up;
-    Micros since = 0;  // of `told`
+    Micros since = 0;  // time of the notification
 };
 
 struct RequestResult {
@@ -43,21 +44,21 @@
 class SimulationObserver {
   public:
     virtual ~SimulationObserver() = default;
-    virtual void on_decision(const SimulatedRequest& ask, const Decision& decision,
+    virtual void on_decision(const SimulatedRequest& request, const Decision& decision,
                              const std::vector<NotifiedStateSince>& notified) = 0;
-    virtual void on_request_finished(const SimulatedRequest& ask, const RequestResult& end,
+    virtual void on_request_finished(const SimulatedRequest& request, const RequestResult& result,
                                      const std::vector<NotifiedStateSince>& notified) = 0;
-    // For replays: each event that goes in and each action that comes out, in words.
-    virtual void step(Micros at, const std::string& words) {
-        static_cast<void>(at), static_cast<void>(words);
+    // For replays: a description of each input event and each resulting action.
+    virtual void step(Micros at, const std::string& description) {
+        static_cast<void>(at), static_cast<void>(description);
     }
     virtual bool wants_steps() const { return false; }
-    // True: nothing further is of interest.
+    // True ends the run early.
     virtual bool enough() const { return false; }
 };
 
-// `asks` in order of time.
-void simulate(const Scenario& world, const FleetModel& fleet, const std::vector<SimulatedRequest>& asks,
-              SimulationObserver& watcher);
+// `requests` have to be ordered by time.
+void simulate(const Scenario& scenario, const FleetModel& fleet,
+              const std::vector<SimulatedRequest>& requests, SimulationObserver& observer);
 
 }  // namespace sumackeel::expectations
