--- a/src/expectations/counterexample_file.cpp
+++ b/src/expectations/counterexample_file.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr int kVersion = 1;
-constexpr std::size_t kMostAsks = 1'000'000, kMostHappenings = 100'000;
-constexpr const char* kStates[] = {"SERVING", "DRAINING", "DELETED"};
+constexpr std::size_t kMaxRequests = 1'000'000, kMaxFaultEvents = 100'000;
+constexpr const char* kStateNames[] = {"SERVING", "DRAINING", "DELETED"};
 
 Value json_of(const Node& node) {
     if (const auto flag = std::get_if<bool>(&node.value)) return *flag;
@@ -57,31 +57,32 @@
         if (entry.kind >= 0) one["class"] = fleet.site.kinds[entry.kind];
         one["block"] = Json::Int64{entry.cell};
         one["share"] = entry.weight;
-        one["health"] = kStates[static_cast<std::size_t>(entry.state)];
+        one["health"] = kStateNames[static_cast<std::size_t>(entry.state)];
         hosts.append(one);
     }
     root["expect"] = json_of(expectation.source);
-    Value& world = root["world"];
-    world["title"] = example.world.title;
-    world["school"] = fleet.site.zones[example.world.zone];
-    world["seed"] = std::to_string(example.world.seed);  // beyond what JSON numbers hold exactly
-    world["happenings"] = Value(Json::arrayValue);
+    Value& scenario = root["world"];
+    scenario["title"] = example.world.title;
+    scenario["school"] = fleet.site.zones[example.world.zone];
+    scenario["seed"] =
+        std::to_string(example.world.seed);  // as a string: JSON numbers are not exact for 64 bits
+    scenario["happenings"] = Value(Json::arrayValue);
     for (const FaultEvent& one : example.world.faults) {
         Value item;
         item["at_us"] = Json::Int64{one.at};
         item["trouble"] = name_of(one.fault);
         item["member"] = fleet.name(one.member);
-        world["happenings"].append(item);
+        scenario["happenings"].append(item);
     }
     root["requests"] = Value(Json::arrayValue);
-    for (const SimulatedRequest& ask : example.asks) {
+    for (const SimulatedRequest& request : example.asks) {
         Value item;
-        item["at_us"] = Json::Int64{ask.at};
-        item["number"] = ask.number;
-        item["class"] = fleet.site.classes[ask.class_index];
-        item["object"] = ask.object;
-        item["part"] = ask.part;
-        item["size_kb"] = ask.size_kb;
+        item["at_us"] = Json::Int64{request.at};
+        item["number"] = request.number;
+        item["class"] = fleet.site.classes[request.class_index];
+        item["object"] = request.object;
+        item["part"] = request.part;
+        item["size_kb"] = request.size_kb;
         root["requests"].append(item);
     }
     root["broken"]["request"] = example.broken.request;
@@ -112,45 +113,45 @@
     suite["expect"] = Value(Json::arrayValue);
     suite["expect"].append(root["expect"]);
     one.suite = read_suite(config::read_json(text_of(suite, true), file), file, one.fleet);
-    const Value& world = root["world"];
-    config::take(world, "title", one.world.title, file);
-    const auto zone_name = config::need<std::string>(world, "school", file + ".world");
+    const Value& scenario = root["world"];
+    config::take(scenario, "title", one.world.title, file);
+    const auto zone_name = config::need<std::string>(scenario, "school", file + ".world");
     const auto zone = std::find(site.zones.begin(), site.zones.end(), zone_name);
     if (zone == site.zones.end()) bad(file + ".world.school", "no school '" + zone_name + "'");
     one.world.zone = static_cast<int>(zone - site.zones.begin());
-    const auto seed = config::need<std::string>(world, "seed", file + ".world");
+    const auto seed = config::need<std::string>(scenario, "seed", file + ".world");
     if (seed.empty() || seed.size() > 20 || seed.find_first_not_of("0123456789") != std::string::npos)
         bad(file + ".world.seed", "no whole number");
     one.world.seed = std::strtoull(seed.c_str(), nullptr, 10);
-    if (world["happenings"].size() > kMostHappenings || root["requests"].size() > kMostAsks)
+    if (scenario["happenings"].size() > kMaxFaultEvents || root["requests"].size() > kMaxRequests)
         bad(file, "more happenings or requests than any run has");
-    const auto at_of = [&](const Value& item) {
+    const auto read_time = [&](const Value& item) {
         const auto at = config::need<std::int64_t>(item, "at_us", file);
         if (at < 0 || at > 86'400'000'000) bad(file + ".at_us", "not within a day");
         return at;
     };
-    for (const Value& item : world["happenings"]) {
-        FaultEvent happening;
-        happening.at = at_of(item);
-        const auto trouble = fault_named(config::need<std::string>(item, "trouble", file));
-        happening.member = one.fleet.find(config::need<std::string>(item, "member", file));
-        if (!trouble || happening.member < 0) bad(file + ".world.happenings", "an unknown trouble or member");
-        happening.fault = *trouble;
-        one.world.faults.push_back(happening);
+    for (const Value& item : scenario["happenings"]) {
+        FaultEvent fault_event;
+        fault_event.at = read_time(item);
+        const auto kind = fault_named(config::need<std::string>(item, "trouble", file));
+        fault_event.member = one.fleet.find(config::need<std::string>(item, "member", file));
+        if (!kind || fault_event.member < 0) bad(file + ".world.happenings", "an unknown trouble or member");
+        fault_event.fault = *kind;
+        one.world.faults.push_back(fault_event);
     }
     for (const Value& item : root["requests"]) {
-        SimulatedRequest ask;
-        ask.at = at_of(item);
-        ask.number = config::need<int>(item, "number", file);
+        SimulatedRequest request;
+        request.at = read_time(item);
+        request.number = config::need<int>(item, "number", file);
         const auto service = config::need<std::string>(item, "class", file);
         const auto found = std::find(site.classes.begin(), site.classes.end(), service);
         if (found == site.classes.end()) bad(file + ".requests", "no class '" + service + "'");
-        ask.class_index = static_cast<int>(found - site.classes.begin());
-        ask.object = config::need<int>(item, "object", file);
-        config::take(item, "part", ask.part, file);
-        ask.size_kb = config::need<double>(item, "size_kb", file);
-        if (!(ask.size_kb >= 0 && ask.size_kb <= 1e9)) bad(file + ".requests.size_kb", "no size");
-        one.asks.push_back(ask);
+        request.class_index = static_cast<int>(found - site.classes.begin());
+        request.object = config::need<int>(item, "object", file);
+        config::take(item, "part", request.part, file);
+        request.size_kb = config::need<double>(item, "size_kb", file);
+        if (!(request.size_kb >= 0 && request.size_kb <= 1e9)) bad(file + ".requests.size_kb", "no size");
+        one.asks.push_back(request);
     }
     std::stable_sort(one.asks.begin(), one.asks.end(),
                      [](const SimulatedRequest& a, const SimulatedRequest& b) { return a.at < b.at; });
--- a/src/expectations/counterexample_file.h
+++ b/src/expectations/counterexample_file.h
@@ -1,4 +1,4 @@
-// A counterexample as a file that stands alone: the fleet, its settings, the expectation, the world and the
+// A counterexample as a self-contained file: the fleet, its settings, the expectation, the scenario and the
 // requests. JSON, version 1; docs/operating/expectations.md lists its keys.
 #pragma once
 
@@ -10,14 +10,14 @@
 
 struct Case {
     FleetModel fleet;
-    Suite suite;  // the one expectation
+    Suite suite;  // with the one violated expectation
     Scenario world;
     std::vector<SimulatedRequest> asks;
 };
 
 std::string write_case(const FleetModel& fleet, const Expectation& expectation,
                        const Counterexample& example);
-// Throws config::ConfigError, naming `file`, on anything that can't be such a file.
+// Throws config::ConfigError, with the name `file`, if the text is no valid counterexample file.
 Case read_case(const std::string& text, const std::string& file);
 
 }  // namespace sumackeel::expectations
--- a/src/expectations/fault_scenario.h
+++ b/src/expectations/fault_scenario.h
@@ -1,5 +1,5 @@
-// Worlds: what goes wrong with a fleet while one proxy of one school is asked, as a list of events. Which
-// worlds are tried is enumerated here, the same for the same fleet, settings and seed.
+// Scenarios: the faults of a fleet while one proxy of one zone handles requests, as a list of events. The
+// enumeration is deterministic: the same fleet, settings and seed give the same scenarios.
 #pragma once
 
 #include <optional>
@@ -11,19 +11,19 @@
 namespace sumackeel::expectations {
 
 enum class FaultKind {
-    drain,        // told at `at`; it goes on answering
-    dies,         // from `at` on connections are refused; told gone 2 s later
-    vanishes,     // from `at` on it says nothing; told gone 2 s later
-    back_cold,    // from `at` on it answers again, empty and at its coldest, and is told so at once
-    fails_fills,  // as a source: refuses what it is asked for fills
-    full,         // answers 'full'
-    stale_report  // reports a load that is long over: full, though it is idle
+    drain,        // announced at `at`; still responds
+    dies,         // refuses connections from `at` on; the list removes it 2 s later
+    vanishes,     // unresponsive from `at` on; the list removes it 2 s later
+    back_cold,    // responds again from `at` on, empty and cold, which is announced at once
+    fails_fills,  // as a source: rejects fills
+    full,         // responds as overloaded
+    stale_report  // reports an outdated load: overloaded, though it is idle
 };
-const char* name_of(FaultKind trouble);
+const char* name_of(FaultKind fault);
 std::optional<FaultKind> fault_named(const std::string& name);
 
 struct FaultEvent {
-    Micros at = 0;  // from the world's start
+    Micros at = 0;  // since the scenario's start
     FaultKind fault = FaultKind::drain;
     int member = -1;
 
@@ -31,7 +31,7 @@
 };
 
 struct SimulatedRequest {
-    Micros at = 0;  // from the world's start
+    Micros at = 0;  // since the scenario's start
     int number = 0;
     int class_index = 0;
     int object = 0;
@@ -40,7 +40,7 @@
 
     bool operator==(const SimulatedRequest&) const = default;
 };
-// As the proxy is asked for it; `group` is its group of 256.
+// The name in requests to the proxy; group_of gives its purge group, one of 256.
 std::string object_name(int object);
 int group_of(int object);
 
@@ -48,13 +48,13 @@
     int number = 0;
     std::string title;       // "all up", "s-1 dies", …
     int zone = 0;            // zone of the proxy
-    std::uint64_t seed = 0;  // of the router and the traffic
+    std::uint64_t seed = 0;  // for the router and the traffic
     std::vector<FaultEvent> faults;
 };
 
 std::vector<Scenario> enumerate(const FleetModel& fleet, const Suite& suite);
-// The requests of a world, in order of time.
-std::vector<SimulatedRequest> traffic_of(const Scenario& world, const FleetModel& fleet,
+// The requests of a scenario, ordered by time.
+std::vector<SimulatedRequest> traffic_of(const Scenario& scenario, const FleetModel& fleet,
                                          const Traffic& traffic);
 
 }  // namespace sumackeel::expectations
--- a/src/expectations/fleet_diff.cpp
+++ b/src/expectations/fleet_diff.cpp
@@ -10,23 +10,23 @@
 
 constexpr double kConfidence = 0.95;
 
-struct Choice {
+struct FirstChoice {
     std::string target, source;
 };
 
-// The first attempt of each request.
-class FirstChoices : public SimulationObserver {
+// Records the target and source of each request's first attempt.
+class FirstChoiceRecorder : public SimulationObserver {
   public:
-    explicit FirstChoices(const FleetModel& fleet) : fleet_(fleet) {}
-    void on_decision(const SimulatedRequest& ask, const Decision& made,
+    explicit FirstChoiceRecorder(const FleetModel& fleet) : fleet_(fleet) {}
+    void on_decision(const SimulatedRequest& request, const Decision& decision,
                      const std::vector<NotifiedStateSince>&) override {
-        if (made.attempt > 0) return;
-        by_request[ask.number] = {made.target < 0 ? "" : fleet_.name(made.target),
-                                  made.source < 0 ? "" : fleet_.name(made.source)};
+        if (decision.attempt > 0) return;
+        by_request[request.number] = {decision.target < 0 ? "" : fleet_.name(decision.target),
+                                      decision.source < 0 ? "" : fleet_.name(decision.source)};
     }
     void on_request_finished(const SimulatedRequest&, const RequestResult&,
                              const std::vector<NotifiedStateSince>&) override {}
-    std::map<int, Choice> by_request;
+    std::map<int, FirstChoice> by_request;
 
   private:
     const FleetModel& fleet_;
@@ -43,59 +43,62 @@
     return static_cast<int>(std::find(zones.begin(), zones.end(), name) - zones.begin());
 }
 
-void only_in(const std::set<std::string>& these, const std::set<std::string>& those,
-             std::vector<std::string>& into) {
-    std::set_difference(these.begin(), these.end(), those.begin(), those.end(), std::back_inserter(into));
+void append_missing(const std::set<std::string>& names, const std::set<std::string>& other_names,
+                    std::vector<std::string>& missing) {
+    std::set_difference(names.begin(), names.end(), other_names.begin(), other_names.end(),
+                        std::back_inserter(missing));
 }
 
 }  // namespace
 
 FleetDiff compare(const FleetModel& before, const FleetModel& after, const Traffic& traffic,
                   std::uint64_t seed) {
-    FleetDiff difference;
+    FleetDiff diff;
     const auto old_zones = zone_names(before), new_zones = zone_names(after);
-    only_in(old_zones, new_zones, difference.only_old);
-    only_in(new_zones, old_zones, difference.only_new);
+    append_missing(old_zones, new_zones, diff.only_old);
+    append_missing(new_zones, old_zones, diff.only_new);
     std::set<std::string> old_members, new_members;
     for (std::size_t i = 0; i < before.members.size(); ++i) old_members.insert(before.name(i));
     for (std::size_t i = 0; i < after.members.size(); ++i) new_members.insert(after.name(i));
-    only_in(old_members, new_members, difference.only_old);
-    only_in(new_members, old_members, difference.only_new);
+    append_missing(old_members, new_members, diff.only_old);
+    append_missing(new_members, old_members, diff.only_new);
     for (const std::string& zone : old_zones) {
         if (!new_zones.contains(zone)) continue;
-        Scenario world;
-        world.zone = zone_named(before, zone);
-        world.seed = seed;
-        const std::vector<SimulatedRequest> asks = traffic_of(world, before, traffic);
-        FirstChoices old_choices(before), new_choices(after);
-        simulate(world, before, asks, old_choices);
-        world.zone = zone_named(after, zone);
-        simulate(world, after, asks, new_choices);
-        std::map<int, RoutingShift> by_service;
-        std::map<std::pair<int, int>, bool> homes;  // the first request for each part tells its home
-        for (const SimulatedRequest& ask : asks) {
-            const auto was = old_choices.by_request.find(ask.number),
-                       is = new_choices.by_request.find(ask.number);
-            if (was == old_choices.by_request.end() || is == new_choices.by_request.end()) continue;
-            RoutingShift& moved = by_service[ask.class_index];
-            ++moved.requests;
-            const bool other = was->second.target != is->second.target;
-            moved.to_other_endpoint += other;
-            moved.from_other_source += was->second.source != is->second.source;
-            if (!before.site.settings.classes[ask.class_index].uncacheable &&
-                homes.emplace(std::pair(ask.class_index, ask.object), other).second)
-                ++moved.objects, moved.homes_moved += other;
+        Scenario scenario;
+        scenario.zone = zone_named(before, zone);
+        scenario.seed = seed;
+        const std::vector<SimulatedRequest> requests = traffic_of(scenario, before, traffic);
+        FirstChoiceRecorder old_choices(before), new_choices(after);
+        simulate(scenario, before, requests, old_choices);
+        scenario.zone = zone_named(after, zone);
+        simulate(scenario, after, requests, new_choices);
+        std::map<int, RoutingShift> shifts_by_class;
+        std::map<std::pair<int, int>, bool>
+            first_targets;  // by class and object; only the first request for each counts
+        for (const SimulatedRequest& request : requests) {
+            const auto old_choice = old_choices.by_request.find(request.number),
+                       new_choice = new_choices.by_request.find(request.number);
+            if (old_choice == old_choices.by_request.end() || new_choice == new_choices.by_request.end())
+                continue;
+            RoutingShift& shift = shifts_by_class[request.class_index];
+            ++shift.requests;
+            const bool target_changed = old_choice->second.target != new_choice->second.target;
+            shift.to_other_endpoint += target_changed;
+            shift.from_other_source += old_choice->second.source != new_choice->second.source;
+            if (!before.site.settings.classes[request.class_index].uncacheable &&
+                first_targets.emplace(std::pair(request.class_index, request.object), target_changed).second)
+                ++shift.objects, shift.homes_moved += target_changed;
         }
-        for (auto& [service, moved] : by_service) {
-            moved.zone = zone;
-            moved.service = before.site.classes[service];
-            moved.endpoint = bounds_of(moved.to_other_endpoint, moved.requests, kConfidence);
-            moved.source = bounds_of(moved.from_other_source, moved.requests, kConfidence);
-            moved.copies = bounds_of(moved.homes_moved, moved.objects, kConfidence);
-            difference.moved.push_back(std::move(moved));
+        for (auto& [service, shift] : shifts_by_class) {
+            shift.zone = zone;
+            shift.service = before.site.classes[service];
+            shift.endpoint = bounds_of(shift.to_other_endpoint, shift.requests, kConfidence);
+            shift.source = bounds_of(shift.from_other_source, shift.requests, kConfidence);
+            shift.copies = bounds_of(shift.homes_moved, shift.objects, kConfidence);
+            diff.moved.push_back(std::move(shift));
         }
     }
-    return difference;
+    return diff;
 }
 
 }  // namespace sumackeel::expectations
--- a/src/expectations/fleet_model.cpp
+++ b/src/expectations/fleet_model.cpp
@@ -50,14 +50,15 @@
     FleetModel fleet;
     fleet.site = config::parse_site(settings_text);
     fleet.settings_text = std::move(settings_text);
-    std::map<std::string, config::LocatedEndpoint> known;
+    std::map<std::string, config::LocatedEndpoint> endpoints_by_name;
     for (const config::WatchEvent& change : changes) {
         if (!change.has_endpoints) continue;
-        if (change.is_full_list) known.clear();
-        for (const config::LocatedEndpoint& placed : change.endpoints) known[placed.endpoint.name] = placed;
+        if (change.is_full_list) endpoints_by_name.clear();
+        for (const config::LocatedEndpoint& located : change.endpoints)
+            endpoints_by_name[located.endpoint.name] = located;
     }
-    for (auto& [name, placed] : known)
-        if (placed.endpoint.state != EndpointState::removed) fleet.members.push_back(std::move(placed));
+    for (auto& [name, located] : endpoints_by_name)
+        if (located.endpoint.state != EndpointState::removed) fleet.members.push_back(std::move(located));
     if (fleet.members.empty()) throw config::ConfigError("the fleet has no member");
     if (fleet.zones_with_caches().empty()) throw config::ConfigError("the fleet has no cache in any school");
     return fleet;
@@ -65,7 +66,7 @@
 
 namespace {
 
-bool among(const std::vector<std::string>& names, const std::string& name) {
+bool matches_list(const std::vector<std::string>& names, const std::string& name) {
     return names.empty() || std::find(names.begin(), names.end(), name) != names.end();
 }
 
@@ -73,9 +74,9 @@
 
 bool MemberSelector::matches(const FleetModel& fleet, std::size_t member) const {
     const bool is_pop_cache = fleet.kind_of(member) == Kind::cache;
-    return among(names, fleet.name(member)) && among(kinds, name_of(fleet.kind_of(member))) &&
-           (zones.empty() || (is_pop_cache && among(zones, fleet.zone_of(member)))) &&
-           (regions.empty() || (!is_pop_cache && among(regions, fleet.zone_of(member))));
+    return matches_list(names, fleet.name(member)) && matches_list(kinds, name_of(fleet.kind_of(member))) &&
+           (zones.empty() || (is_pop_cache && matches_list(zones, fleet.zone_of(member)))) &&
+           (regions.empty() || (!is_pop_cache && matches_list(regions, fleet.zone_of(member))));
 }
 
 std::vector<bool> MemberSelector::members(const FleetModel& fleet) const {
@@ -86,9 +87,9 @@
 
 std::string MemberSelector::text() const {
     std::string all;
-    const auto add = [&](const char* what, const std::vector<std::string>& names) {
+    const auto add = [&](const char* label, const std::vector<std::string>& names) {
         if (!names.empty())
-            all += fmt::format("{}{} {}", all.empty() ? "" : ", ", what, fmt::join(names, " or "));
+            all += fmt::format("{}{} {}", all.empty() ? "" : ", ", label, fmt::join(names, " or "));
     };
     add("box", names), add("school", zones), add("hub", regions), add("kind", kinds);
     return all.empty() ? "any member" : all;
--- a/src/expectations/fleet_model.h
+++ b/src/expectations/fleet_model.h
@@ -1,5 +1,5 @@
-// What is checked: the members of a fleet with the platform's settings, as plain values, and groups of
-// members named by school, hub, kind or box.
+// The model that expectations are checked on: the members of a fleet with the platform's settings, as plain
+// values, and selectors of members by zone, region, kind or name.
 #pragma once
 
 #include <string>
@@ -16,27 +16,27 @@
 const char* name_of(Kind kind);
 
 struct FleetModel {
-    std::string settings_text;  // the platform's "settings" as JSON, for a counterexample that stands alone
+    std::string settings_text;  // the platform's "settings" as JSON, for self-contained counterexamples
     config::Site site;
-    std::vector<config::LocatedEndpoint> members;  // in order of name
+    std::vector<config::LocatedEndpoint> members;  // ordered by name
 
     Kind kind_of(std::size_t member) const;
     const std::string& name(std::size_t member) const { return members[member].endpoint.name; }
-    // -1: no member of that name.
+    // Index of the member; -1 if there is none of that name.
     int find(const std::string& name) const;
     std::string zone_of(std::size_t member) const;
-    // Zones in which caches stand: what proxies are checked for.
+    // Zones with caches; expectations are checked for the proxies of these.
     std::vector<int> zones_with_caches() const;
-    // Zones in which parents or the origin stand, by name.
+    // Names of the zones with parents or the origin.
     std::vector<std::string> parent_regions() const;
 };
 
-// Takes the list as the change log would leave it: later events over earlier ones, those gone left out.
-// Throws config::ConfigError where no member is left or settings name none of the roles.
+// Applies the changes in order: later events override earlier ones, and removed endpoints are left out.
+// Throws config::ConfigError if the settings are invalid, no member is left or no zone has a cache.
 FleetModel make_fleet(std::string settings_text, const std::vector<config::WatchEvent>& changes);
 
-// Members by any of the names given in each list; lists that are given must all match. None given: all
-// members.
+// Selects members that match all non-empty lists, each by any of its names. With all lists empty, every
+// member matches.
 struct MemberSelector {
     std::vector<std::string> names, zones, regions, kinds;
 
