--- a/src/emulator/fleet_emulator.cpp
+++ b/src/emulator/fleet_emulator.cpp
@@ -139,15 +139,15 @@
     handle(router, EndpointUpdate{3, EndpointUpdateKind::full, endpoints_});
 }
 
-// The router that takes a request of this router's client: itself, or a random one that is ready. With none
-// it is its own, where the request is unhandled.
+// The router that takes a request of this router's client: itself if ready, else a random one that is. If
+// none is ready, the router itself, where the request counts as unhandled.
 std::size_t FleetEmulator::router_for_client_of(std::size_t number) {
-    const auto takes = [this](std::size_t i) { return running_[i] && (!is_ready || is_ready(i)); };
-    if (takes(number)) return number;
+    const auto can_take = [this](std::size_t i) { return running_[i] && (!is_ready || is_ready(i)); };
+    if (can_take(number)) return number;
     const std::size_t from = random_() % routers_.size();
     for (std::size_t i = 0; i < routers_.size(); ++i) {
         const std::size_t candidate = (from + i) % routers_.size();
-        if (takes(candidate)) return candidate;
+        if (can_take(candidate)) return candidate;
     }
     return number;
 }
@@ -235,17 +235,17 @@
 
 void FleetEmulator::deliver_request(std::size_t router, const RequestReceived& request) {
     ++totals.requested;
-    const std::size_t taker = router_for_client_of(router);
-    if (!running_[taker] || (is_ready && !is_ready(taker))) {
+    const std::size_t target = router_for_client_of(router);
+    if (!running_[target] || (is_ready && !is_ready(target))) {
         ++totals.unhandled;
         return;
     }
-    if (admit && !admit(taker, request.object)) {
+    if (admit && !admit(target, request.object)) {
         ++totals.rejected;
         return;
     }
     open_[request.id] = {request.object, now_};
-    handle(taker, request);
+    handle(target, request);
 }
 
 void FleetEmulator::handle_by_all(const Event& event) {
@@ -274,7 +274,7 @@
     schedule(at, [this, attempt, end] { finish(attempt, end); });
 }
 
-// Only the first end of an attempt counts: its timeout, or what its endpoint makes of it.
+// Only the first end of an attempt counts: its timeout or its endpoint's result.
 void FleetEmulator::finish(const EmulatedAttempt& attempt, const AttemptEnd& end) {
     const std::string& id = attempt.forward.id;
     if (!in_flight_.erase({id, attempt.number})) return;
@@ -354,7 +354,7 @@
     schedule_end(attempt, filled_at, {AttemptStatus::served, cache_status, first_byte});
 }
 
-// Adds a fill to the origin's queue, where it stays also after its attempt has timed out. Gives the time to
+// Adds a fill to the origin's queue, where it stays even after its attempt has timed out. Returns the time to
 // its first byte.
 Micros FleetEmulator::queue_at_origin() {
     totals.origin_fills.push_back(now_);
--- a/src/emulator/fleet_emulator.h
+++ b/src/emulator/fleet_emulator.h
@@ -1,9 +1,10 @@
-// Emulator of a fleet: many routers before many endpoints on one virtual clock, for what only their sum
-// shows, such as the load on an origin or on a cold endpoint when all routers act on the same event.
+// Emulator of a fleet: many routers in front of many endpoints on one virtual clock, for effects that only
+// their sum shows, such as the load on an origin or on a cold endpoint when all routers act on the same
+// event.
 //
-// One seed gives one run; nothing here reads a clock or a file. Endpoints are simple: an attempt takes its
-// transfer time, and a fill from the origin waits its turn there. Times are microseconds of the virtual
-// clock. A run keeps some 300 bytes a request until its end.
+// A run is determined by its seed: nothing here reads a clock or a file. Endpoints are simple: an attempt
+// takes its transfer time, and a fill from the origin waits in its queue. Times are microseconds of the
+// virtual clock. A run keeps some 300 bytes per request until its end.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +43,7 @@
 // Settings of the routers of such a fleet; index and zone are those of the first.
 routing::Settings fleet_settings(const FleetOptions& options);
 
-// What became of the requests, and what reached the origin and each endpoint.
+// Results of the requests, and the load on the origin and each endpoint.
 struct Totals {
     int requested = 0;
     int served = 0;
@@ -50,7 +51,7 @@
     int rejected = 0;
     int failed = 0;
     int duplicate_answers = 0;
-    int unhandled = 0;  // there was no router that was ready
+    int unhandled = 0;  // no router was ready
     int origin_crashes = 0;
     double max_origin_queue = 0;                                // fills waiting there at once
     std::vector<Micros> origin_fills;                           // when they began, in order
@@ -76,19 +77,19 @@
 
     void run_for(Micros duration);
 
-    // All copies become void; each router is notified a little later than the one before.
+    // Invalidates all copies; each router is notified a little later than the one before.
     void purge_all();
 
     // Endpoints restart empty and cold; all routers are notified at once.
     void restart(const std::vector<std::string>& endpoints);
 
     // Endpoints become unreachable, as when a zone is cut off: attempts there time out, and a cache that
-    // fills from there reports so after a long wait. No list says so.
+    // fills from there reports an error after a long wait. The endpoint list is not updated.
     void disconnect(const std::vector<std::string>& endpoints) {
         disconnected_.insert(endpoints.begin(), endpoints.end());
     }
 
-    // They respond again, empty and cold; no list says that either.
+    // They respond again, empty and cold; the endpoint list is not updated.
     void reconnect(const std::vector<std::string>& endpoints);
 
     // Loss of power: routers, copies and open requests are gone. Clients whose router is not ready use
@@ -120,7 +121,7 @@
     std::function<void(std::size_t router, Micros now, const std::vector<routing::Action>& actions)>
         on_actions;
 
-    Totals totals;  // may be cleared between two stretches
+    Totals totals;  // may be cleared between two calls of run_for
 
   private:
     struct Timer {
--- a/src/expectations/parser.cpp
+++ b/src/expectations/parser.cpp
@@ -21,10 +21,10 @@
     Rule rule;
     const char* name;
     enum class Value { group, share, number, flag } value;
-    double least, most;  // of its number or share
+    double min_value, max_value;  // range of its number or share
 };
 
-constexpr std::array<RuleForm, 11> kRules{{
+constexpr std::array<RuleForm, 11> kRuleForms{{
     {Rule::never_fills_from, "never_fills_from", RuleForm::Value::group, 0, 0},
     {Rule::fills_from, "fills_from", RuleForm::Value::group, 0, 0},
     {Rule::only_at, "only_at", RuleForm::Value::group, 0, 0},
@@ -39,7 +39,8 @@
 }};
 
 const RuleForm& form_of(Rule rule) {
-    return *std::find_if(kRules.begin(), kRules.end(), [&](const RuleForm& f) { return f.rule == rule; });
+    return *std::find_if(kRuleForms.begin(), kRuleForms.end(),
+                         [&](const RuleForm& f) { return f.rule == rule; });
 }
 
 constexpr std::array<const char*, 4> kNotifiedStateNames{"up", "cold", "draining", "gone"};
@@ -62,16 +63,16 @@
                                         found ? "an empty one" : name_of_type(node)));
         return found ? *found : "";
     }
-    double number(const Node& node, const std::string& what, double least, double most) {
+    double number(const Node& node, const std::string& what, double min_value, double max_value) {
         const auto whole = std::get_if<std::int64_t>(&node.value);
         const auto real = std::get_if<double>(&node.value);
         const double value = whole ? static_cast<double>(*whole) : real ? *real : NAN;
-        if (!(value >= least && value <= most))
-            add(node.place, fmt::format("{}: a number from {} to {} is wanted", what, least, most));
-        return value >= least && value <= most ? value : least;
+        if (!(value >= min_value && value <= max_value))
+            add(node.place, fmt::format("{}: a number from {} to {} is wanted", what, min_value, max_value));
+        return value >= min_value && value <= max_value ? value : min_value;
     }
     // One string or a list of them.
-    std::vector<std::string> texts(const Node& node, const std::string& what) {
+    std::vector<std::string> strings(const Node& node, const std::string& what) {
         const auto list = std::get_if<Node::List>(&node.value);
         if (!list) return {text(node, what)};
         std::vector<std::string> all;
@@ -79,11 +80,11 @@
         if (all.empty()) add(node.place, what + ": an empty list says nothing");
         return all;
     }
-    // The names given, each of which has to be known.
-    std::vector<std::string> known(const Node& node, const std::string& what,
-                                   const std::vector<std::string>& names) {
+    // Reads names and reports those that are not in `names`.
+    std::vector<std::string> known_names(const Node& node, const std::string& what,
+                                         const std::vector<std::string>& names) {
         std::vector<std::string> all;
-        for (const std::string& name : texts(node, what)) {
+        for (const std::string& name : strings(node, what)) {
             if (std::find(names.begin(), names.end(), name) == names.end())
                 add(node.place, fmt::format("no {} '{}' in this fleet", what, name));
             else
@@ -92,15 +93,16 @@
         return all;
     }
 
-    // Keys of a group; what else the table holds is left to the caller.
-    bool group_key(const std::string& key, const Node& node, MemberSelector& group) {
-        if (key == "box") return group.names = known(node, "box", member_names()), true;
-        if (key == "school") return group.zones = known(node, "school", zone_names()), true;
-        if (key == "hub") return group.regions = known(node, "hub", fleet_.parent_regions()), true;
-        if (key == "kind") return group.kinds = known(node, "kind", {"cache", "parent", "origin"}), true;
+    // Reads a key of a member selector; false: it is another key, which the caller handles.
+    bool read_selector_key(const std::string& key, const Node& node, MemberSelector& group) {
+        if (key == "box") return group.names = known_names(node, "box", member_names()), true;
+        if (key == "school") return group.zones = known_names(node, "school", zone_names()), true;
+        if (key == "hub") return group.regions = known_names(node, "hub", fleet_.parent_regions()), true;
+        if (key == "kind")
+            return group.kinds = known_names(node, "kind", {"cache", "parent", "origin"}), true;
         return false;
     }
-    void need_members(const MemberSelector& group, SourceLocation at) {
+    void require_members(const MemberSelector& group, SourceLocation at) {
         const auto members = group.members(fleet_);
         if (std::none_of(members.begin(), members.end(), [](bool in) { return in; }))
             add(at, fmt::format("{}: no member of this fleet, so this can never apply", group.text()));
@@ -110,14 +112,15 @@
         const Node::Table* items = table(node, "while");
         if (!items) return std::nullopt;
         Condition condition;
-        bool has_state = false;
+        bool has_quantifier = false;
         for (const auto& [key, value] : *items) {
-            if (group_key(key, value, condition.group)) continue;
+            if (read_selector_key(key, value, condition.group)) continue;
             if (key != "all" && key != "some") {
                 add(value.key_place, fmt::format("while: no such key '{}'", key));
                 continue;
             }
-            if (std::exchange(has_state, true)) add(value.key_place, "while: either all or some, not both");
+            if (std::exchange(has_quantifier, true))
+                add(value.key_place, "while: either all or some, not both");
             condition.all = key == "all";
             const std::string word = text(value, "while." + key);
             const auto found = std::find(kNotifiedStateNames.begin(), kNotifiedStateNames.end(), word);
@@ -127,8 +130,9 @@
             else
                 condition.is = static_cast<NotifiedState>(found - kNotifiedStateNames.begin());
         }
-        if (!has_state) add(node.place, "while: says nothing; all = \"up\" or some = \"gone\" is wanted");
-        need_members(condition.group, node.place);
+        if (!has_quantifier)
+            add(node.place, "while: says nothing; all = \"up\" or some = \"gone\" is wanted");
+        require_members(condition.group, node.place);
         return condition;
     }
 
@@ -141,7 +145,7 @@
             return;
         }
         if (form.value == Value::number && !std::holds_alternative<Node::Table>(node.value)) {
-            into.limit = number(node, form.name, form.least, form.most);
+            into.limit = number(node, form.name, form.min_value, form.max_value);
             return;
         }
         const Node::Table* items = table(node, form.name);
@@ -150,9 +154,10 @@
         const char* limit =
             form.value == Value::share || form.rule == Rule::refused_at_most ? "share" : "limit";
         for (const auto& [key, value] : *items) {
-            if (form.value != Value::number && group_key(key, value, into.group)) continue;
+            if (form.value != Value::number && read_selector_key(key, value, into.group)) continue;
             if (form.value != Value::group && key == limit)
-                into.limit = number(value, std::string(form.name) + '.' + key, form.least, form.most),
+                into.limit =
+                    number(value, std::string(form.name) + '.' + key, form.min_value, form.max_value),
                 has_limit = true;
             else if (limit == std::string_view("share") && key == "confidence")
                 into.confidence = number(value, std::string(form.name) + '.' + key, 0.5, 0.999999);
@@ -161,7 +166,7 @@
         }
         if (form.value != Value::group && !has_limit)
             add(node.place, fmt::format("{}: {} is missing", form.name, limit));
-        if (form.value != Value::number) need_members(into.group, node.place);
+        if (form.value != Value::number) require_members(into.group, node.place);
         if (form.value != Value::number && into.group == MemberSelector{})
             add(node.place, fmt::format("{}: names no box, school, hub or kind", form.name));
     }
@@ -173,7 +178,7 @@
         const Node::Table* items = table(node, "expect");
         if (!items) return one;
         int rules = 0;
-        // In the order of the file: of two rules the second one is the one too many.
+        // In file order, so that of two rules the second one is reported.
         std::vector<Node::Table::const_iterator> in_order;
         for (auto it = items->begin(); it != items->end(); ++it) in_order.push_back(it);
         std::sort(in_order.begin(), in_order.end(), [](auto a, auto b) {
@@ -183,9 +188,9 @@
         for (const auto& it : in_order) {
             const std::string& key = it->first;
             const Node& value = it->second;
-            const auto form =
-                std::find_if(kRules.begin(), kRules.end(), [&](const RuleForm& f) { return key == f.name; });
-            if (form != kRules.end()) {
+            const auto form = std::find_if(kRuleForms.begin(), kRuleForms.end(),
+                                           [&](const RuleForm& f) { return key == f.name; });
+            if (form != kRuleForms.end()) {
                 if (++rules > 1) add(value.key_place, "one expectation has one rule; this is a second one");
                 rule(*form, value, one);
             } else if (key == "name") {
@@ -193,11 +198,11 @@
             } else if (key == "reason") {
                 one.reason = text(value, key);
             } else if (key == "class") {
-                for (const std::string& name : known(value, "class", fleet_.site.classes))
-                    one.classes.push_back(place_in(fleet_.site.classes, name));
+                for (const std::string& name : known_names(value, "class", fleet_.site.classes))
+                    one.classes.push_back(index_of(fleet_.site.classes, name));
             } else if (key == "school") {
-                for (const std::string& name : known(value, "school", zone_names()))
-                    one.zones.push_back(place_in(fleet_.site.zones, name));
+                for (const std::string& name : known_names(value, "school", zone_names()))
+                    one.zones.push_back(index_of(fleet_.site.zones, name));
             } else if (key == "object") {
                 one.object = text(value, key);
             } else if (key == "group") {
@@ -216,8 +221,8 @@
         return one;
     }
 
-    // What can be seen without running anything.
-    void look_through(const std::vector<Expectation>& all) {
+    // Static checks, without simulation.
+    void check_suite(const std::vector<Expectation>& all) {
         std::map<std::string, SourceLocation> names;
         for (const Expectation& one : all) {
             if (!one.name.empty() && !names.emplace(one.name, one.place).second)
@@ -254,7 +259,7 @@
     }
 
   private:
-    static int place_in(const std::vector<std::string>& names, const std::string& name) {
+    static int index_of(const std::vector<std::string>& names, const std::string& name) {
         return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
     }
     std::vector<std::string> member_names() const {
@@ -267,49 +272,51 @@
         for (const int zone : fleet_.zones_with_caches()) names.push_back(fleet_.site.zones[zone]);
         return names;
     }
-    static bool overlap(const std::vector<int>& a, const std::vector<int>& b) {
+    static bool have_common(const std::vector<int>& a, const std::vector<int>& b) {
         return a.empty() || b.empty() || std::any_of(a.begin(), a.end(), [&](int x) {
                    return std::find(b.begin(), b.end(), x) != b.end();
                });
     }
-    // Whether some request falls under both while all conditions of both hold: where one's conditions are
-    // among the other's. What is not seen here shows when it is run.
-    static bool same_ground(const Expectation& a, const Expectation& b) {
-        const auto within = [](const Expectation& small, const Expectation& large) {
-            return std::all_of(small.conditions.begin(), small.conditions.end(), [&](const Condition& c) {
-                return std::find(large.conditions.begin(), large.conditions.end(), c) !=
-                       large.conditions.end();
-            });
+    // Whether a request can fall under both with all conditions of both met: recognized only if the
+    // conditions of one include those of the other. Other conflicts show up in the simulation.
+    static bool may_overlap(const Expectation& a, const Expectation& b) {
+        const auto conditions_subset = [](const Expectation& subset_side, const Expectation& superset_side) {
+            return std::all_of(
+                subset_side.conditions.begin(), subset_side.conditions.end(), [&](const Condition& c) {
+                    return std::find(superset_side.conditions.begin(), superset_side.conditions.end(), c) !=
+                           superset_side.conditions.end();
+                });
         };
         const bool objects = a.object.empty() || b.object.empty() || a.object == b.object;
         const bool groups = a.group_number < 0 || b.group_number < 0 || a.group_number == b.group_number;
-        return overlap(a.classes, b.classes) && overlap(a.zones, b.zones) && objects && groups &&
-               (within(a, b) || within(b, a));
+        return have_common(a.classes, b.classes) && have_common(a.zones, b.zones) && objects && groups &&
+               (conditions_subset(a, b) || conditions_subset(b, a));
     }
     bool contradict(const Expectation& a, const Expectation& b) const {
-        if (!same_ground(a, b)) return false;
+        if (!may_overlap(a, b)) return false;
         const auto first = a.group.members(fleet_), second = b.group.members(fleet_);
         const auto subset = [](const std::vector<bool>& of, const std::vector<bool>& whole) {
             for (std::size_t i = 0; i < of.size(); ++i)
                 if (of[i] && !whole[i]) return false;
             return true;
         };
-        const auto apart = [&] {
+        const auto disjoint = [&] {
             for (std::size_t i = 0; i < first.size(); ++i)
                 if (first[i] && second[i]) return false;
             return true;
         };
-        const auto pair = [&](Rule one, Rule other) { return a.rule == one && b.rule == other; };
-        if (pair(Rule::fills_from, Rule::never_fills_from)) return subset(first, second);
-        if (pair(Rule::never_fills_from, Rule::fills_from)) return subset(second, first);
-        if (pair(Rule::fills_from, Rule::fills_from) || pair(Rule::only_at, Rule::only_at)) return apart();
-        if (pair(Rule::share_at_least, Rule::share_at_most))
+        const auto rules_are = [&](Rule one, Rule other) { return a.rule == one && b.rule == other; };
+        if (rules_are(Rule::fills_from, Rule::never_fills_from)) return subset(first, second);
+        if (rules_are(Rule::never_fills_from, Rule::fills_from)) return subset(second, first);
+        if (rules_are(Rule::fills_from, Rule::fills_from) || rules_are(Rule::only_at, Rule::only_at))
+            return disjoint();
+        if (rules_are(Rule::share_at_least, Rule::share_at_most))
             return a.limit > b.limit && subset(first, second);
-        if (pair(Rule::share_at_most, Rule::share_at_least))
+        if (rules_are(Rule::share_at_most, Rule::share_at_least))
             return b.limit > a.limit && subset(second, first);
-        if (pair(Rule::kept_at_rank, Rule::kept_at_rank)) return a.limit != b.limit;
-        if (pair(Rule::only_at, Rule::share_at_least)) return b.limit > 0 && apart();
-        if (pair(Rule::share_at_least, Rule::only_at)) return a.limit > 0 && apart();
+        if (rules_are(Rule::kept_at_rank, Rule::kept_at_rank)) return a.limit != b.limit;
+        if (rules_are(Rule::only_at, Rule::share_at_least)) return b.limit > 0 && disjoint();
+        if (rules_are(Rule::share_at_least, Rule::only_at)) return a.limit > 0 && disjoint();
         return false;
     }
 
@@ -327,7 +334,8 @@
 }
 
 bool matches_pattern(std::string_view pattern, std::string_view text) {
-    // On a mismatch behind a star, the star takes one letter more: no recursion, so no pattern is slow.
+    // On a mismatch after a star, the star takes one more character. There is no recursion, so no pattern is
+    // exponentially slow.
     std::size_t p = 0, t = 0, star = std::string_view::npos, from = 0;
     while (t < text.size()) {
         if (p < pattern.size() && (pattern[p] == '?' || pattern[p] == text[t]) && pattern[p] != '*')
@@ -343,34 +351,35 @@
     return p == pattern.size();
 }
 
-bool Expectation::concerns(int service, int zone, const std::string& asked, int asked_group) const {
+bool Expectation::concerns(int service, int zone, const std::string& requested_object,
+                           int requested_group) const {
     const auto among = [](const std::vector<int>& list, int one) {
         return list.empty() || std::find(list.begin(), list.end(), one) != list.end();
     };
     return among(classes, service) && among(zones, zone) &&
-           (group_number < 0 || group_number == asked_group) &&
-           (object.empty() || matches_pattern(object, asked));
+           (group_number < 0 || group_number == requested_group) &&
+           (object.empty() || matches_pattern(object, requested_object));
 }
 
 std::string Expectation::text() const {
-    std::string words = name_of(rule);
+    std::string description = name_of(rule);
     switch (form_of(rule).value) {
         case RuleForm::Value::group:
-            words += " " + group.text();
+            description += " " + group.text();
             break;
         case RuleForm::Value::share:
-            words += fmt::format(" {} to {}, at {} confidence", limit, group.text(), confidence);
+            description += fmt::format(" {} to {}, at {} confidence", limit, group.text(), confidence);
             break;
         case RuleForm::Value::number:
-            words += fmt::format(" {}", limit);
+            description += fmt::format(" {}", limit);
             break;
         case RuleForm::Value::flag:
             break;
     }
     for (const Condition& c : conditions)
-        words += fmt::format(" while {} of {} {} {}", c.all ? "all" : "some", c.group.text(),
-                             c.all ? "are" : "is", name_of(c.is));
-    return words;
+        description += fmt::format(" while {} of {} {} {}", c.all ? "all" : "some", c.group.text(),
+                                   c.all ? "are" : "is", name_of(c.is));
+    return description;
 }
 
 // NOLINTNEXTLINE(readability-function-size): not split yet
@@ -437,7 +446,7 @@
         }
     }
     if (suite.expectations.empty()) reader.add({1, 1}, "not a single expectation");
-    reader.look_through(suite.expectations);
+    reader.check_suite(suite.expectations);
     reader.throw_if_any();
     return suite;
 }
