--- a/tests/daemon/crossings_test.cpp
+++ b/tests/daemon/crossings_test.cpp
@@ -1,4 +1,4 @@
-// Stories of two events that cross, forced by scripted peers (docs/design/crossings.md lists the pairs).
+// Tests of pairs of concurrent events, forced by scripted peers (docs/design/crossings.md lists the pairs).
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <fcntl.h>
@@ -13,33 +13,34 @@
 
 namespace {
 
-// Connections may take long to come up: what waits for one waits for seconds.
-std::string patient(std::string config) {
+// Raises the connect timeout to 3 s and the drain grace to 8 s, for tests that wait for a slow connection.
+std::string with_long_timeouts(std::string config) {
     config = with(std::move(config), R"("connect_timeout":400000)", R"("connect_timeout":3000000)");
     return with(std::move(config), R"("drain_grace":2000000)", R"("drain_grace":8000000)");
 }
 
-// `enrol` is a keyed class: its repeats are dropped for `window_ms`.
-std::string keyed(std::string config, int window_ms) {
+// Makes `enrol` a keyed class, whose duplicates are dropped for `window_ms`.
+std::string with_dedup_window(std::string config, int window_ms) {
     return with(std::move(config), R"("semantics":"fragile")",
                 R"("semantics":"dedup","group":"all","window":)" + std::to_string(window_ms) + "000");
 }
 
-Fields with_key(Fields fields, const std::string& key) {
+Fields with_operation_key(Fields fields, const std::string& key) {
     fields["opkey"] = key;
     return fields;
 }
 
-constexpr const char* kKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+constexpr const char* kOperationKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-// A large object: its attempts are borne with for longer than a connection takes to come up.
-Fields large(Fields fields) {
+// A large object: its attempts time out later than a slow connection takes to come up.
+Fields large_object(Fields fields) {
     fields["need"] = "6000";
     return fields;
 }
 
-// The daemon has worked off what reached it before this: the first answer comes in the turn of its loop that
-// reads it, at whose end all is sent; the second comes in a later one.
+// Returns once the daemon has processed everything it received before. The first reply comes in the event
+// loop iteration that reads the input, and output is flushed at the end of that iteration; the second reply
+// comes in a later one.
 void round_trip(Wire& client, int seqid) {
     for (int i = 0; i < 2; ++i) {
         client.send(alive(seqid));
@@ -51,46 +52,47 @@
 
 // ---- a client that leaves, and a connection that comes up ----
 
-// Guards: the first of two requests for one object leads its fill, and the module lets a leader's attempt go
-// on for the others' sake. One that still waited for its connection was then sent up to a second after its
-// client had gone, and reached a cache for nobody.
+// Guards: the first of two requests for one object leads its fill, and the leader's attempt is kept for the
+// requests that joined it. An attempt still waiting for its connection was sent up to a second after its
+// client had left, although no client needed it.
 TEST_CASE("what waits for a connection is not sent once its client has left") {
     OneCache fleet;
     fleet.cache.clog();
-    Daemon daemon(WithConfig{patient(config_text(fleet.hosts()))}, {});
-    Wire leaver = Wire::to(daemon.port()), stayer = Wire::to(daemon.port());
-    leaver.send(dispatch(1, large(read("sheet", "00000000000000a1", 6000))));
-    round_trip(leaver, 2);
-    stayer.send(dispatch(1, large(read("sheet", "00000000000000b1", 6000))));
-    round_trip(stayer, 2);
+    Daemon daemon(WithConfig{with_long_timeouts(config_text(fleet.hosts()))}, {});
+    Wire leaving = Wire::to(daemon.port()), remaining = Wire::to(daemon.port());
+    leaving.send(dispatch(1, large_object(read("sheet", "00000000000000a1", 6000))));
+    round_trip(leaving, 2);
+    remaining.send(dispatch(1, large_object(read("sheet", "00000000000000b1", 6000))));
+    round_trip(remaining, 2);
     SUBCASE("cancelled") {
-        leaver.send(cancel(3, 1));
-        round_trip(leaver, 4);
+        leaving.send(cancel(3, 1));
+        round_trip(leaving, 4);
     }
     SUBCASE("closed") {
-        leaver.finish();
+        leaving.finish();
     }
     fleet.cache.unclog();
-    // Both calls are repeated about now; the leader's was first.
+    // Both connection attempts are retransmitted at about this time, the leader's first.
     Wire first = fleet.cache.accept(), second = fleet.cache.accept();
-    const bool by_first = ready(first.fd(), 200) || !ready(second.fd(), kBoundMs);
-    Wire& used = by_first ? first : second;
+    const bool first_used = ready(first.fd(), 200) || !ready(second.fd(), kBoundMs);
+    Wire& used = first_used ? first : second;
     const Req req = read_req(used);
     CHECK(req.id == "00000000000000b1");
     used.send(done(req.id, "ok"));
-    CHECK(body(read_reply(stayer)) == "ok");
-    CHECK((by_first ? second : first).quiet());
+    CHECK(body(read_reply(remaining)) == "ok");
+    CHECK((first_used ? second : first).quiet());
 }
 
-// Guards: what waits for a connection is sent when that comes up, and the cache may have been told to drain
-// long before. However long the settings let a connection take, half of the grace for drains is the most.
+// Guards: a request that waits for a connection is sent when the connection comes up, possibly long after
+// the cache was told to drain. Whatever the connect timeout is, the wait is limited to half of the drain
+// grace.
 TEST_CASE("a connection that comes up after half of the grace for drains carries nothing") {
     TwoCaches fleet;
-    std::string text = patient(config_text(fleet.hosts()));
+    std::string text = with_long_timeouts(config_text(fleet.hosts()));
     text = with(text, R"("drain_grace":8000000)", R"("drain_grace":400000)");
     Daemon daemon(WithConfig{text}, {});
     Wire client = Wire::to(daemon.port());
-    client.send(dispatch(1, large(read("sheet", "00000000000000a1", 8000))));
+    client.send(dispatch(1, large_object(read("sheet", "00000000000000a1", 8000))));
     Peer& first = first_called({&fleet.a, &fleet.b});
     {
         Wire cache = first.accept();
@@ -101,9 +103,9 @@
     }
     first.clog();
     client.send(
-        dispatch(2, large(read("sheet", "00000000000000a2", 8000))));  // the same object: the same choice
+        dispatch(2, large_object(read("sheet", "00000000000000a2", 8000))));  // same object, so same cache
     round_trip(client, 3);
-    first.unclog();  // its connection would come up when the call is repeated, a second from now
+    first.unclog();  // the connection would come up when the SYN is retransmitted, a second from now
     Peer& next = first_called({&fleet.a, &fleet.b, &fleet.parent});
     CHECK(&next != &first);
     CHECK(read_req(*std::make_unique<Wire>(next.accept())).id == "00000000000000a2");
@@ -111,21 +113,21 @@
 
 // ---- keyed classes ----
 
-// Guards: the origin drops repeats by the client's key alone. Without it on the wire a second attempt runs
-// twice.
+// Guards: the origin detects duplicates by the client's key alone. If an attempt does not carry the key, a
+// second attempt is executed twice.
 TEST_CASE("a keyed request carries its client's key on each attempt, and none goes out without") {
     TwoCaches fleet;
-    Daemon daemon(WithConfig{keyed(config_text(fleet.hosts()), 5000)}, {});
+    Daemon daemon(WithConfig{with_dedup_window(config_text(fleet.hosts()), 5000)}, {});
     Wire client = Wire::to(daemon.port());
-    client.send(dispatch(1, with_key(read("enrol", "00000000000000e1"), kKey), "form"));
+    client.send(dispatch(1, with_operation_key(read("enrol", "00000000000000e1"), kOperationKey), "form"));
     Peer& first = first_called({&fleet.a, &fleet.b});
     Wire cache = first.accept();
-    CHECK(read_req(cache).fields.at("nonce") == kKey);
-    cache.reset();  // it may have run; a repeat under the key is dropped
+    CHECK(read_req(cache).fields.at("nonce") == kOperationKey);
+    cache.reset();  // the request may have been executed; a retry under the same key is dropped
     Wire other = (&first == &fleet.a ? fleet.b : fleet.a).accept();
     const Req again = read_req(other);
     CHECK(again.id == "00000000000000e1");
-    CHECK(again.fields.at("nonce") == kKey);
+    CHECK(again.fields.at("nonce") == kOperationKey);
     CHECK(again.body == "form");
     other.send(again.id + " DONE - 0\r\n\r\n");
     CHECK(read_reply(client).place == 0);
@@ -134,13 +136,13 @@
     const std::string too_long(65, 'a');
     for (const std::string& bad :
          {std::string{}, std::string("a b"), std::string("a,b=c"), std::string("a\r\n"), too_long}) {
-        client.send(dispatch(++seqid, with_key(read("enrol", "00000000000000e2"), bad)));
+        client.send(dispatch(++seqid, with_operation_key(read("enrol", "00000000000000e2"), bad)));
         CHECK(read_reply(client).place == 2);
     }
     client.send(dispatch(++seqid, read("enrol", "00000000000000e3")));
     CHECK(read_reply(client).place == 2);
-    // Where the class has no key, none goes on.
-    client.send(dispatch(++seqid, with_key(read("sheet", "00000000000000a1"), kKey)));
+    // The key is not forwarded for a class that is not keyed.
+    client.send(dispatch(++seqid, with_operation_key(read("sheet", "00000000000000a1"), kOperationKey)));
     Wire third = first_called({&fleet.a, &fleet.b}).accept();
     const Req plain = read_req(third);
     CHECK_FALSE(plain.fields.contains("nonce"));
@@ -148,22 +150,23 @@
     CHECK(read_reply(client).place == 0);
 }
 
-// Guards: past the window the origin no longer knows the key, and a repeat runs a second time.
+// Guards: after the window the origin has forgotten the key, and a retry is executed a second time.
 TEST_CASE("a keyed request goes out again within its window and not behind it") {
     TwoCaches fleet;
-    Daemon daemon(WithConfig{patient(keyed(config_text(fleet.hosts()), 600))}, {});
+    Daemon daemon(WithConfig{with_long_timeouts(with_dedup_window(config_text(fleet.hosts()), 600))}, {});
     Wire client = Wire::to(daemon.port());
-    client.send(dispatch(1, with_key(large(read("enrol", "00000000000000e1", 6000)), kKey)));
+    client.send(dispatch(
+        1, with_operation_key(large_object(read("enrol", "00000000000000e1", 6000)), kOperationKey)));
     Peer& first = first_called({&fleet.a, &fleet.b});
     Peer& second = &first == &fleet.a ? fleet.b : fleet.a;
     Wire cache = first.accept();
     read_req(cache);
     SUBCASE("broken off behind the window") {
-        std::this_thread::sleep_for(std::chrono::milliseconds(700));  // the window itself is what passes
+        std::this_thread::sleep_for(std::chrono::milliseconds(700));  // waits until the window has passed
         cache.reset();
         CHECK(read_reply(client).place != 0);
     }
-    // Called within the window, the second cache's connection comes up a second later.
+    // The connection to the second cache is started within the window and comes up a second later.
     SUBCASE("the connection for the repeat comes up behind the window") {
         second.clog();
         cache.reset();
@@ -176,14 +179,15 @@
     CHECK_FALSE(second.called());
 }
 
-// ---- one name used again ----
+// ---- a reused request id ----
 
-// Guards: a cache answers by the request's name. A second client under the name of one that was given up
-// would get the first one's bytes, if they shared the connection.
+// Guards: a cache matches responses to requests by the request id. A second client that reuses the id of a
+// cancelled request would get the first one's body if both shared a connection.
 TEST_CASE("a name used again after it was given up does not meet the first one's late answer") {
     OneCache fleet;
     std::string text = config_text(fleet.hosts());
-    text = with(text, R"("report")", R"("prices":{"handshake":0.9},"report")");  // so that requests share
+    text = with(text, R"("report")",
+                R"("prices":{"handshake":0.9},"report")");  // lets requests share a connection
     Daemon daemon(WithConfig{text}, {});
     Wire one = Wire::to(daemon.port()), two = Wire::to(daemon.port());
     one.send(dispatch(1, read("sheet", "00000000000000a1")));
@@ -203,7 +207,8 @@
     CHECK(body(read_reply(two)) == "second");
 }
 
-// Guards: half a line that comes on a resting connection would be read as the head of the next answer there.
+// Guards: a partial line received on an idle connection would be read as the head of the next response on
+// it.
 TEST_CASE("a resting connection on which half a line came carries no further request") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -220,12 +225,13 @@
     CHECK(req.id == "00000000000000a2");
     fresh.send(req.id + " DONE digest=ab12,dated=1764576000123,tell=local 2\r\nok\r\n");
     CHECK(body(read_reply(client)) == "ok");
-    CHECK(cache.rest().empty());  // it is closed, with nothing more sent on it
+    CHECK(cache.rest().empty());  // closed, with nothing more sent on it
 }
 
-// ---- ends ----
+// ---- shutdown ----
 
-// Guards: the platform kills 0.7 s after the longest deadline; where all are short that is long before 3.7 s.
+// Guards: the platform kills the process 0.7 s after the longest deadline, which is long before 3.7 s if all
+// deadlines are short.
 TEST_CASE("a process leaves before it is killed, whatever the settings' deadlines are") {
     using sumackeel::daemon::shutdown_deadlines;
     sumackeel::routing::Settings settings;
@@ -237,55 +243,55 @@
         const auto killed = std::min(deadline_ms, 3000) * 1000 + 700'000;
         CHECK(ending.final_responses < ending.exit);
         CHECK(ending.exit < killed);
-        // Requests come for 0.6 s: the last of them has its own deadline, or 2.3 s.
+        // Requests arrive for 0.6 s; the last of them has its own deadline, or 2.3 s.
         CHECK(ending.final_responses >= std::min(600'000 + deadline_ms * 1000 - 100'000, 2'900'000));
     }
 }
 
 // ---- floods ----
 
-// Guards: answers to whoever asks and never reads would take the memory in a moment; all other clients die of
-// it.
+// Guards: buffering responses for a client that never reads would exhaust memory within moments and fail all
+// other clients.
 TEST_CASE("a client that asks without end and reads nothing is not read any further") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
     Wire flood = Wire::to(daemon.port(), 4096);
-    std::string calls;
-    for (int i = 0; i < 4096; ++i) calls += alive(1);
+    std::string requests;
+    for (int i = 0; i < 4096; ++i) requests += alive(1);
     fcntl(flood.fd(), F_SETFL, O_NONBLOCK);
-    // Until nothing more is taken for a second, while it is still borne with; or it is let go.
-    constexpr std::size_t kFar = 64u << 20;  // several times what all buffers on the way hold
-    bool taken = true, there = true;
-    for (std::size_t at = 0, all = 0; taken && there && all < kFar;) {
-        const ssize_t sent = ::send(flood.fd(), calls.data() + at, calls.size() - at, MSG_NOSIGNAL);
+    // Sends until the socket accepts nothing for a second while still connected, or until it is closed.
+    constexpr std::size_t kMaxBytes = 64u << 20;  // several times the capacity of all buffers on the path
+    bool writable = true, connected = true;
+    for (std::size_t at = 0, total_bytes = 0; writable && connected && total_bytes < kMaxBytes;) {
+        const ssize_t sent = ::send(flood.fd(), requests.data() + at, requests.size() - at, MSG_NOSIGNAL);
         if (sent > 0) {
-            at = (at + static_cast<std::size_t>(sent)) % calls.size();
-            all += static_cast<std::size_t>(sent);
+            at = (at + static_cast<std::size_t>(sent)) % requests.size();
+            total_bytes += static_cast<std::size_t>(sent);
         }
         pollfd room{flood.fd(), POLLOUT, 0};
-        taken = poll(&room, 1, 1000) == 1;
-        there = !(room.revents & (POLLERR | POLLHUP));
+        writable = poll(&room, 1, 1000) == 1;
+        connected = !(room.revents & (POLLERR | POLLHUP));
     }
-    CHECK_FALSE(taken);
-    CHECK(there);
-    Wire honest = Wire::to(daemon.port());
-    round_trip(honest, 1);
+    CHECK_FALSE(writable);
+    CHECK(connected);
+    Wire normal = Wire::to(daemon.port());
+    round_trip(normal, 1);
 }
 
-// Guards: a client that is slow to read has its connection not read either, and what it cancels was not
-// heard: attempts for it went on.
+// Guards: the connection of a client that reads slowly was not read either, so its cancellations were not
+// processed and attempts for it continued.
 TEST_CASE("a cancellation is heard though the client has many answers to read") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
     Wire client = Wire::to(daemon.port(), 4096);
-    Fields patient_one = read("sheet", "00000000000000a1", 20'000);
-    patient_one["need"] = "40000";  // its attempt is not given up by itself before
-    client.send(dispatch(1, patient_one));
-    Wire held = fleet.cache.accept();
-    REQUIRE(read_req(held).id == "00000000000000a1");
+    Fields long_request = read("sheet", "00000000000000a1", 20'000);
+    long_request["need"] = "40000";  // keeps its attempt from timing out first
+    client.send(dispatch(1, long_request));
+    Wire open_cache = fleet.cache.accept();
+    REQUIRE(read_req(open_cache).id == "00000000000000a1");
     const std::string big(240'000, 'x');
-    // More than every buffer on the way takes, and than one client may leave unread; what it sends then is
-    // refused.
+    // More than all buffers on the path hold, and more than one client may leave unread; further requests of
+    // this client are refused.
     std::vector<Wire> used;
     for (int i = 2; i < 80; ++i) {
         char id[17];
@@ -305,25 +311,25 @@
         cache.send(done(req.id, big));
     }
     client.send(cancel(100, 1));
-    CHECK(held.line() == "STOP 00000000000000a1");
+    CHECK(open_cache.line() == "STOP 00000000000000a1");
 }
 
-// Guards: one client that floods, and those that write slowly, must not keep others from their answers.
+// Guards: a client that floods the proxy, and clients that write slowly, must not block other clients.
 TEST_CASE("beside a flood a request that comes a few bytes at a time is answered") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
     Wire flood = Wire::to(daemon.port(), 4096), other = Wire::to(daemon.port()),
          slow = Wire::to(daemon.port());
-    std::string calls;
-    for (int i = 0; i < 4096; ++i) calls += alive(1);
+    std::string requests;
+    for (int i = 0; i < 4096; ++i) requests += alive(1);
     fcntl(flood.fd(), F_SETFL, O_NONBLOCK);
     std::size_t at = 0;
     const std::string text = dispatch(1, read("sheet", "00000000000000a1"));
-    constexpr std::size_t kPiece = 16;
-    for (std::size_t from = 0; from < text.size(); from += kPiece) {
-        const ssize_t sent = ::send(flood.fd(), calls.data() + at, calls.size() - at, MSG_NOSIGNAL);
-        if (sent > 0) at = (at + static_cast<std::size_t>(sent)) % calls.size();
-        slow.send(text.substr(from, kPiece));
+    constexpr std::size_t kChunkSize = 16;
+    for (std::size_t from = 0; from < text.size(); from += kChunkSize) {
+        const ssize_t sent = ::send(flood.fd(), requests.data() + at, requests.size() - at, MSG_NOSIGNAL);
+        if (sent > 0) at = (at + static_cast<std::size_t>(sent)) % requests.size();
+        slow.send(text.substr(from, kChunkSize));
         round_trip(other, 1);
     }
     Wire cache = fleet.cache.accept();
@@ -334,9 +340,9 @@
 
 // ---- the change log ----
 
-// Reads of several objects, each of which `one` alone is asked for; the other cache of the fleet is out.
-void served_by(Peer& one, TwoCaches& fleet, Wire& client) {
-    // The event was on its way before the client was: behind a round trip it has been read.
+// Checks that reads of several objects all go to `one`, because the fleet's other cache is out of service.
+void check_served_only_by(Peer& one, TwoCaches& fleet, Wire& client) {
+    // The event was sent before the client connected, so it has been read after one round trip.
     round_trip(client, 1);
     for (int i = 0; i < 8; ++i) {
         Fields fields = read("sheet", "00000000000000a" + std::to_string(i));
@@ -352,14 +358,14 @@
     }
 }
 
-// Guards: a watch that says nothing looks like one with nothing to say. It is called anew, as often as it
-// takes.
+// Guards: a silent watch connection cannot be told from one without events. It is reconnected as often as
+// necessary.
 TEST_CASE("a watch that fell silent is called anew, and the drain told then holds") {
     TwoCaches fleet;
     Peer log;
     Daemon daemon(fleet.hosts(), log.address());
-    std::string behind, drain;
-    Wire first = follow(log, behind);  // and not a byte more
+    std::string last_event_id, drain;
+    Wire first = follow(log, last_event_id);  // sends nothing after the response head
     SUBCASE("by a change") {
         drain = story::fleet(2, false, {host("s-a", fleet.a, "edge-1", "small", "DRAINING")});
     }
@@ -369,32 +375,33 @@
             {host("s-b", fleet.b, "edge-1", "small"), host("s-parent", fleet.parent, "coast", "parent"),
              host("s-origin", fleet.origin, "coast", "origin")});
     }
-    Wire second = follow(log, behind, "data: " + drain + "\n\n");
+    Wire second = follow(log, last_event_id, "data: " + drain + "\n\n");
     CHECK(first.rest().empty());
     Wire client = Wire::to(daemon.port());
-    served_by(fleet.b, fleet, client);
+    check_served_only_by(fleet.b, fleet, client);
 }
 
-// Guards: what the new change log tells right behind a reload counts as told, whatever the old one still
-// says.
+// Guards: an event that the new change log sends right after a reload stays applied, whatever the old change
+// log still sends.
 TEST_CASE("a drain right behind a reload holds") {
     TwoCaches fleet;
     Peer old_log, new_log;
     const Folder folder;
     const std::string file = folder.write("config.json", config_text(fleet.hosts(), old_log.address()));
     Daemon daemon(fleet.hosts(), old_log.address(), {}, {file, {}, {}});
-    std::string behind;
-    Wire first = follow(old_log, behind);
+    std::string last_event_id;
+    Wire first = follow(old_log, last_event_id);
     folder.write("config.json", config_text(fleet.hosts(), new_log.address()));
     daemon.reload();
     Wire second = follow(
-        new_log, behind,
+        new_log, last_event_id,
         "data: " + story::fleet(2, false, {host("s-a", fleet.a, "edge-1", "small", "DRAINING")}) + "\n\n");
     Wire client = Wire::to(daemon.port());
-    served_by(fleet.b, fleet, client);
+    check_served_only_by(fleet.b, fleet, client);
 }
 
-// Guards: a cache that is killed in the moment in which it has accepted may have read nothing or all.
+// Guards: a cache that is killed right after accepting a connection may have read nothing or the whole
+// request.
 TEST_CASE("a cache killed right after its accept: a read goes elsewhere, what must not run twice does not") {
     TwoCaches fleet;
     Daemon daemon(fleet.hosts());
@@ -410,16 +417,17 @@
     client.send(dispatch(2, read("enrol", "00000000000000e1"), "form"));
     Peer& asked = first_called({&fleet.a, &fleet.b});
     Wire killed = asked.accept();
-    REQUIRE(ready(killed.fd(), kBoundMs));  // written, not read
+    REQUIRE(ready(killed.fd(), kBoundMs));  // request sent, but not read
     killed.reset();
     CHECK(read_reply(client).place == 2);
     CHECK_FALSE(fleet.a.called());
     CHECK_FALSE(fleet.b.called());
 }
 
-// ---- what the change log may look like ----
+// ---- change log formats ----
 
-// Guards: a stream of events that is over, on a connection that stays open, told nothing more for 2.5 s.
+// Guards: after an event stream that had ended while its connection stayed open, no event was received for
+// 2.5 s.
 TEST_CASE("a change log whose answer is over is called again at once") {
     OneCache fleet;
     Peer log;
@@ -437,12 +445,12 @@
         const std::string text = "\xEF\xBB\xBF: hello" + end + end + "id: 1" + end + "data: {\"a\":1," + end +
                                  "data:\"b\":2}" + end + end + "retry: 10" + end + "data" + end + end;
         for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-            std::vector<std::string> told;
+            std::vector<std::string> events;
             sumackeel::discovery::EventStreamReader reader(
-                [&](const std::string& data) { told.push_back(data); });
+                [&](const std::string& data) { events.push_back(data); });
             reader.append(text.substr(0, cut));
             reader.append(text.substr(cut));
-            CHECK(told == std::vector<std::string>{"{\"a\":1,\n\"b\":2}", ""});
+            CHECK(events == std::vector<std::string>{"{\"a\":1,\n\"b\":2}", ""});
         }
     }
 }
--- a/tests/daemon/platform_test.cpp
+++ b/tests/daemon/platform_test.cpp
@@ -1,4 +1,4 @@
-// Stories over loopback: the platform's front, the core and upstream against scripted peers.
+// Loopback tests of the platform server, the core and upstream against scripted peers.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <signal.h>
@@ -41,7 +41,7 @@
     CHECK(body(reply) == bytes);
 }
 
-// Guards: a length read off a socket and believed would take the memory or the process.
+// Guards: trusting a length read from a socket would exhaust memory or crash the process.
 TEST_CASE("a broken frame costs its own connection only") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -58,7 +58,8 @@
     CHECK(read_reply(good).place == 0);
 }
 
-// Guards: enrol must not run twice. Bytes were written before the reset, so it may have run.
+// Guards: enrol must not be executed twice. The request was written before the reset, so it may have been
+// executed.
 TEST_CASE("an enrol whose connection breaks is failed and goes out no second time") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -73,8 +74,8 @@
     CHECK_FALSE(fleet.origin.called());
 }
 
-// Guards: a connection that is refused, or never comes up, proves that nothing ran, so what must not run
-// twice may go to the next cache.
+// Guards: a connection that is refused or never established proves that nothing was executed, so a request
+// that must not run twice may go to the next cache.
 TEST_CASE("an enrol goes on to another cache when the first can't be reached") {
     TwoCaches fleet;
     Daemon daemon(fleet.hosts());
@@ -92,15 +93,15 @@
     SUBCASE("never up") {
         first.clog();
     }
-    client.send(dispatch(2, read("enrol", "00000000000000e2")));  // the same object, so the same first choice
+    client.send(dispatch(2, read("enrol", "00000000000000e2")));  // same object, so same first cache
     Wire next = (&first == &fleet.a ? fleet.b : fleet.a).accept();
     CHECK(read_req(next).id == "00000000000000e2");
     next.send("00000000000000e2 DONE - 0\r\n\r\n");
     CHECK(read_reply(client).place == 0);
 }
 
-// Guards: an answer that can't be read says nothing about those behind it, so the connection goes, and with
-// it what was open on it; a read is then asked for again.
+// Guards: after a response that can't be parsed the rest of the stream can't be trusted, so the connection
+// is closed and its open requests fail; a read is retried.
 TEST_CASE("a malformed answer drops its connection and the read is tried again") {
     for (const std::string& broken :
          {std::string("x NONSENSE - 0\r\n\r\n"), std::string("x DONE - 999999999\r\n"),
@@ -120,8 +121,8 @@
     }
 }
 
-// Guards: a machine that vanished leaves its connection open and silent. The requests behind it must not
-// wait for its end one by one.
+// Guards: a machine that has disappeared leaves its connection open and silent. Later requests must not each
+// time out on it in turn.
 TEST_CASE("a second request does not follow the first on to a silent connection") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -139,7 +140,8 @@
     CHECK(silent.rest().empty());
 }
 
-// Guards: what the client gave up is stopped, owed no answer, and its late answer is taken for nobody's.
+// Guards: a request that its client cancelled is stopped and gets no response, and the cache's late response
+// is not delivered to another request.
 TEST_CASE("a cancelled request is stopped and its late answer is dropped") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -158,34 +160,34 @@
     CHECK(body(reply) == "ok");
 }
 
-// Guards: an answer that never comes must not leave the client without one.
+// Guards: a cache that never responds must not leave the client without a response.
 TEST_CASE("a request that nobody answers gets its final answer before its client gives up") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
     Wire client = Wire::to(daemon.port());
-    const auto begun = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     client.send(dispatch(1, read("enrol", "00000000000000e1", 700)));
     Wire cache = fleet.cache.accept();
     read_req(cache);
     CHECK(read_reply(client).place == 2);
-    CHECK(std::chrono::steady_clock::now() - begun < std::chrono::milliseconds(750));
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::milliseconds(750));
 }
 
-// Guards: news in the change log must reach the module, in order, also over a connection taken up anew and
-// behind an event that can't be read.
+// Guards: change log events must reach the module in order, also after a reconnect and after an event that
+// can't be parsed.
 TEST_CASE("a drained cache gets nothing new, and the change log is taken up where it broke off") {
     TwoCaches fleet;
     Peer log;
     Daemon daemon(fleet.hosts(), log.address());
-    std::string behind;
+    std::string last_event_id;
     Wire first =
-        follow(log, behind,
+        follow(log, last_event_id,
                "data: {\"seq\":2,\"fleet\":{}}\n\nid: 2\ndata: " +
                    story::fleet(2, false, {host("s-a", fleet.a, "edge-1", "small", "DRAINING")}) + "\n\n");
-    CHECK(behind == "1");
+    CHECK(last_event_id == "1");
     first.close();
-    Wire second = follow(log, behind);
-    CHECK(behind == "2");
+    Wire second = follow(log, last_event_id);
+    CHECK(last_event_id == "2");
     Wire client = Wire::to(daemon.port()), cache;
     for (int i = 1; i <= 4; ++i) {
         Fields fields = read("sheet", "00000000000000b" + std::to_string(i));
@@ -199,20 +201,20 @@
     CHECK_FALSE(fleet.a.called());
 }
 
-// Guards: requests join fills after a purge too. A box that let one join a fill of the purged copy would have
-// it served.
+// Guards: requests join fills after a purge too. A cache that let a request join a fill of the purged copy
+// would cause that copy to be served.
 TEST_CASE("a joined copy from before the purge is not passed on, the request goes on") {
     TwoCaches fleet;
     Peer log;
     Daemon daemon(fleet.hosts(), log.address());
-    std::string behind;
+    std::string last_event_id;
     const std::int64_t purged = unix_ms() - 500;
-    follow(log, behind,
+    follow(log, last_event_id,
            R"(data: {"seq":2,"invalidate":{"object":"7f3a9c21e0b4d655","time":)" + std::to_string(purged) +
                "}}\n\n")
         .close();
-    Wire second = follow(log, behind);
-    CHECK(behind == "2");
+    Wire second = follow(log, last_event_id);
+    CHECK(last_event_id == "2");
     Wire client = Wire::to(daemon.port());
     client.send(dispatch(1, read("sheet", "00000000000000c1")));
     Peer& first = first_called({&fleet.a, &fleet.b});
@@ -227,47 +229,49 @@
     CHECK(body(read_reply(client)) == "new");
 }
 
-// Guards: SIGHUP must not end the program, and what the change log tells at its new address must be heard at
-// once: the old one goes silent and closes only later.
+// Guards: SIGHUP must not end the process, and events from the change log's new address must be applied at
+// once: the old change log goes silent and closes only later.
 TEST_CASE("on SIGHUP the change log is followed at its new address, its numbers carried on") {
     OneCache fleet;
     Peer old_log, new_log;
     const Folder folder;
     const std::string file = folder.write("config.json", config_text(fleet.hosts(), old_log.address()));
     Daemon daemon(fleet.hosts(), old_log.address(), {}, {file, {}, {}});
-    std::string behind;
+    std::string last_event_id;
     Wire first =
-        follow(old_log, behind,
+        follow(old_log, last_event_id,
                "data: " + story::fleet(2, false, {host("s-x", fleet.cache, "edge-1", "small")}) + "\n\n");
-    CHECK(behind == "1");
+    CHECK(last_event_id == "1");
     Wire client = Wire::to(daemon.port());
-    auto told_to_reload = [&, seqid = 0]() mutable {
+    auto reload_config = [&, seqid = 0]() mutable {
         kill(getpid(), SIGHUP);
-        // Signals come last in a turn of the loop, so the second answer shows that this one was heeded.
+        // Signals are handled last in an event loop iteration, so the second reply shows that this one was
+        // handled.
         for (int i = 0; i < 2; ++i) {
             client.send(alive(++seqid));
             CHECK(read_reply(client).place == 0);
         }
     };
     SUBCASE("a sound file") {}
-    // Guards: a file half written or wrong must leave the old configuration in force.
+    // Guards: a partly written or invalid file must leave the old configuration in force.
     SUBCASE("after a file that can't be read") {
         folder.write("config.json", "{\"listen\":");
-        told_to_reload();
+        reload_config();
     }
     SUBCASE("after a file whose limits can't be") {
         folder.write("config.json", config_text(fleet.hosts(), new_log.address(), {.sockets = 3}));
-        told_to_reload();
+        reload_config();
     }
     CHECK_FALSE(new_log.called());
     folder.write("config.json", config_text(fleet.hosts(), new_log.address()));
-    told_to_reload();
-    Wire second = follow(new_log, behind);
-    CHECK(behind == "2");
+    reload_config();
+    Wire second = follow(new_log, last_event_id);
+    CHECK(last_event_id == "2");
     CHECK(first.rest().empty());
 }
 
-// Guards: a planned restart loses nothing: requests still come for a while, and all that is open is answered.
+// Guards: a planned restart loses no request: new ones are accepted for a while, and all open ones are
+// answered.
 TEST_CASE("told to end, it answers what still comes and then ends by itself") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -287,17 +291,17 @@
     daemon.join();
 }
 
-// Guards: what the module has given up on is answered at once, and the client is told when to come back.
+// Guards: a request that the module refuses is answered at once, and the client is told when to retry.
 TEST_CASE("a refusal goes out at once and says when to come back") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
     fleet.cache.stop(), fleet.parent.stop(), fleet.origin.stop();
     Wire client = Wire::to(daemon.port());
-    const auto begun = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     client.send(dispatch(1, read("sheet", "00000000000000a1", 3000)));
     const Reply reply = read_reply(client);
     CHECK(reply.place == 1);
-    CHECK(std::chrono::steady_clock::now() - begun < std::chrono::milliseconds(1500));
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::milliseconds(1500));
     const auto at = reply.rest.find("holdoff");
     REQUIRE(at != std::string::npos);
     const int wait = std::stoi(reply.rest.substr(at + 11));
@@ -305,7 +309,8 @@
     CHECK(wait <= 500);
 }
 
-// Guards: a frame must be found whole wherever the network cuts it, and nothing be kept once it has come.
+// Guards: a frame must be reassembled wherever the network splits it, and its bytes must not be kept after
+// it is delivered.
 TEST_CASE("frames are read whole, however they are cut") {
     const std::string first = alive(1), second = dispatch(2, read("sheet", "00000000000000a1"));
     const std::string all = first + second + first;
@@ -325,13 +330,14 @@
     }
 }
 
-// Guards: connections that say nothing, or asked once and stay, must not use up what honest clients need; and
-// a client that waits for its answer must not be let go for them.
+// Guards: connections that are silent, or stay open after one request, must not exhaust the connections
+// other clients need, and a client with an open request must not be closed to make room.
 TEST_CASE("idle connections beyond all room shut no honest client out and end no open request") {
     OneCache fleet;
     Daemon daemon(fleet.hosts(), {}, {}, {}, {.sockets = 96});
     Wire open = Wire::to(daemon.port());
-    // The class that waits longest: on a slow machine the crowd takes a second or two.
+    // The class with the longest timeout: on a slow machine opening the idle connections takes a second or
+    // two.
     open.send(dispatch(1, read("video", "00000000000000a1", 6000)));
     Wire cache = fleet.cache.accept();
     const Req req = read_req(cache);
@@ -340,25 +346,25 @@
     SUBCASE("asked once") {
         ask_once = true;
     }
-    std::vector<Wire> crowd;
-    for (int i = 0; i < 100; ++i) {  // 48 have room
-        crowd.push_back(Wire::to(daemon.port()));
+    std::vector<Wire> idle;
+    for (int i = 0; i < 100; ++i) {  // there is room for 48
+        idle.push_back(Wire::to(daemon.port()));
         if (!ask_once) continue;
-        crowd.back().send(alive(1));
-        CHECK(read_reply(crowd.back()).place == 0);
+        idle.back().send(alive(1));
+        CHECK(read_reply(idle.back()).place == 0);
     }
-    Wire honest = Wire::to(daemon.port());
-    honest.send(alive(1));
-    CHECK(read_reply(honest).place == 0);
+    Wire normal = Wire::to(daemon.port());
+    normal.send(alive(1));
+    CHECK(read_reply(normal).place == 0);
     cache.send(req.id + " DONE - 2\r\nok\r\n");
     CHECK(body(read_reply(open)) == "ok");
 }
 
-// Guards: what can't be used is owed an end within 3 s of connecting, also if its end never comes.
+// Guards: an unusable connection is closed within 3 s of connecting, even if its input never completes.
 TEST_CASE("silent and half-sent connections are closed in time") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
-    const auto begun = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     const std::string whole = dispatch(1, read("sheet", "00000000000000a1"));
     std::vector<Wire> bad;
     for (const std::string& sent :
@@ -371,12 +377,12 @@
     CHECK(read_reply(later).place == 0);
     for (Wire& wire : bad) CHECK(wire.rest().empty());
     CHECK(later.rest().empty());
-    // The door's 2 s, with room for a slow machine.
-    CHECK(std::chrono::steady_clock::now() - begun < std::chrono::seconds(5));
+    // The limit for new connections is 2 s; the rest is for slow machines.
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(5));
 }
 
-// Guards: sent on, what no cache can use would count against the caches, and a cache closes on all that is
-// open where it finds a line that it can't read.
+// Guards: a forwarded request that no cache can use would count against the caches, and a cache that
+// receives a line it can't parse closes the connection with all its open requests.
 TEST_CASE("fields that can't be used are answered as failed and reach no cache") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -422,13 +428,13 @@
     CHECK(body(read_reply(client)) == "ok");
 }
 
-// Guards: caches know a request by its id alone, so a second one under an open id would get the answer of the
-// first, or the first none.
+// Guards: caches identify a request by its id alone, so a second request under an open id would get the
+// response of the first, or leave the first without one.
 TEST_CASE("a request under the id of an open one fails and leaves the open one alone") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
-    Wire honest = Wire::to(daemon.port()), other = Wire::to(daemon.port());
-    honest.send(dispatch(1, read("sheet", "00000000000000a1")));
+    Wire normal = Wire::to(daemon.port()), other = Wire::to(daemon.port());
+    normal.send(dispatch(1, read("sheet", "00000000000000a1")));
     Wire cache = fleet.cache.accept();
     const Req req = read_req(cache);
     Fields fields = read("sheet", "00000000000000a1");
@@ -436,8 +442,8 @@
     other.send(dispatch(1, fields));
     CHECK(read_reply(other).place == 2);
     cache.send(req.id + " DONE - 2\r\nok\r\n");
-    CHECK(body(read_reply(honest)) == "ok");
-    // Once that is over the id is free again.
+    CHECK(body(read_reply(normal)) == "ok");
+    // After the first request has ended, its id may be used again.
     other.send(dispatch(2, fields));
     const Req next = read_req(cache);
     CHECK(next.fields.at("item") == "00000000000000ff");
@@ -455,8 +461,8 @@
 
 }  // namespace
 
-// Guards: an answer that can't be read costs all that is open on its connection. Where there are descriptors
-// enough that is one request.
+// Guards: a response that can't be parsed fails all requests open on its connection. While there are enough
+// descriptors, that is one request.
 TEST_CASE("a spoilt answer costs no other request its answer") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -467,7 +473,7 @@
     client.send(dispatch(2, read_of("00000000000000a2", "00000000000000e2", 9000)));
     Wire second = fleet.cache.accept();
     const Req other = read_req(second);
-    // Noise, though its line never ends.
+    // Invalid bytes without a line end.
     first.send("\x07\x9c no line's end");
     CHECK(first.rest().empty());
     CHECK(second.quiet());
@@ -475,28 +481,28 @@
     const Reply reply = read_reply(client);
     CHECK(reply.seqid == 2);
     CHECK(body(reply) == "ok");
-    // And a connection that is free carries the next request.
+    // An idle connection carries the next request.
     client.send(dispatch(3, read_of("00000000000000a3", "00000000000000e3")));
     CHECK(read_req(second).id == "00000000000000e3");
 }
 
-// Guards: an answer that stops in the middle goes on no more. Waiting for it until the deadline would leave
-// no time for another try, and a connection in use for nothing.
+// Guards: a response that stops in the middle does not resume. Waiting for it until the deadline would leave
+// no time for a retry and occupy a connection for nothing.
 TEST_CASE("an answer that stops in the middle ends its connection long before the deadline") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
     Wire client = Wire::to(daemon.port());
-    const auto begun = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     client.send(dispatch(1, read("enrol", "00000000000000e1", 9000)));
     Wire cache = fleet.cache.accept();
     const Req req = read_req(cache);
     cache.send(req.id + " DONE - 20\r\nhalf of");
     CHECK(read_reply(client).place == 2);
     CHECK(cache.rest().empty());
-    CHECK(std::chrono::steady_clock::now() - begun < std::chrono::seconds(6));
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(6));
 }
 
-// Guards: a cache that takes no more connections still serves over those that it took.
+// Guards: a cache that refuses further connections still serves requests on those it has accepted.
 TEST_CASE("requests share a connection where a further one is refused") {
     OneCache fleet;
     Daemon daemon(fleet.hosts());
@@ -513,8 +519,9 @@
     CHECK(body(read_reply(client)) == "ok");
 }
 
-// Guards: a connection for each attempt, times a hundred proxies, is handshakes and full tables at the boxes.
-// Where the settings give it a price, requests share one; where they don't, each still has its own.
+// Guards: one connection per attempt, times a hundred proxies, costs handshakes and fills the connection
+// tables of the caches. If the settings price a handshake, requests share a connection; otherwise each has
+// its own.
 TEST_CASE("where a handshake has a price requests share a connection, else each has its own") {
     for (const bool priced : {true, false}) {
         OneCache fleet;
@@ -539,14 +546,14 @@
     }
 }
 
-// Guards: over a long day caches are replaced again and again. What is held for one that is gone must go with
-// it, and one that took its address must not get its connections.
+// Guards: caches are replaced repeatedly during a day. State held for a removed cache must go with it, and a
+// cache that takes over its address must not get its connections.
 TEST_CASE("a cache that is gone keeps no connection, and its address serves under a new id") {
     OneCache fleet;
     Peer log;
     Daemon daemon(fleet.hosts(), log.address());
-    std::string behind;
-    Wire feed = follow(log, behind);
+    std::string last_event_id;
+    Wire feed = follow(log, last_event_id);
     Wire client = Wire::to(daemon.port());
     client.send(dispatch(1, read_of("00000000000000a1", "00000000000000e1")));
     Wire old = fleet.cache.accept();
@@ -567,39 +574,41 @@
     CHECK(body(read_reply(client)) == "ok");
 }
 
-// Guards: a client that asks and never reads keeps its answers in memory. Enough of them would have every
-// other client refused for good.
+// Guards: the responses of a client that never reads stay in memory. Enough of them would cause every other
+// client to be refused permanently.
 TEST_CASE("a client that reads none of its answers is let go") {
     OneCache fleet;
     Daemon daemon(fleet.hosts(), {}, {}, {}, {.memory_mb = 3});
     Wire client = Wire::to(daemon.port());
     const std::string bytes(240'000, 'x');
-    constexpr int kAnswers = 32;  // as many as may be open; more bytes than the system's own buffers take
-    std::vector<std::pair<Wire, Req>> asked;
-    for (int i = 1; i <= kAnswers; ++i) {
+    constexpr int kResponses =
+        32;  // the limit of open requests; more bytes than the kernel's socket buffers hold
+    std::vector<std::pair<Wire, Req>> open_requests;
+    for (int i = 1; i <= kResponses; ++i) {
         client.send(dispatch(i, read("enrol", "00000000000000" + std::to_string(10 + i), 30'000)));
         Wire cache = fleet.cache.accept();
         const Req req = read_req(cache);
-        asked.emplace_back(std::move(cache), req);
+        open_requests.emplace_back(std::move(cache), req);
     }
-    for (auto& [cache, req] : asked) cache.send(req.id + " DONE - 240000\r\n" + bytes + "\r\n");
-    // Refused while all the memory for answers is taken; sent on once the other has been let go.
-    Wire honest = Wire::to(daemon.port());
-    const auto sent_on = [&] {
-        return fleet.cache.called() ||
-               std::any_of(asked.begin(), asked.end(), [](const auto& one) { return !one.first.quiet(); });
+    for (auto& [cache, req] : open_requests) cache.send(req.id + " DONE - 240000\r\n" + bytes + "\r\n");
+    // Refused while the memory for responses is used up; forwarded once the other client has been closed.
+    Wire normal = Wire::to(daemon.port());
+    const auto forwarded = [&] {
+        return fleet.cache.called() || std::any_of(open_requests.begin(), open_requests.end(),
+                                                   [](const auto& one) { return !one.first.quiet(); });
     };
     const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(kBoundMs);
     int refused = 0;
-    for (int seqid = 1; !sent_on() && std::chrono::steady_clock::now() < until; ++seqid) {
-        honest.send(dispatch(seqid, read("enrol", "00000000000000ff", 30'000)));
-        while (honest.quiet() && !sent_on() && std::chrono::steady_clock::now() < until)
+    for (int seqid = 1; !forwarded() && std::chrono::steady_clock::now() < until; ++seqid) {
+        normal.send(dispatch(seqid, read("enrol", "00000000000000ff", 30'000)));
+        while (normal.quiet() && !forwarded() && std::chrono::steady_clock::now() < until)
             std::this_thread::yield();
-        if (honest.quiet()) break;
-        CHECK(read_reply(honest).place == 1);
+        if (normal.quiet()) break;
+        CHECK(read_reply(normal).place == 1);
         ++refused;
     }
-    // On a slow machine the client may have been let go before the first honest request came.
+    // On a slow machine the client may have been closed before the first request of the other client
+    // arrived.
     MESSAGE("refused meanwhile: " << refused);
-    CHECK(sent_on());
+    CHECK(forwarded());
 }
