--- a/tests/daemon/signed_test.cpp
+++ b/tests/daemon/signed_test.cpp
@@ -1,4 +1,4 @@
-// Stories over loopback: signed links and students' tokens from the client to the cache and back.
+// Loopback tests of signed links and student tokens, from the client to the cache and back.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <signal.h>
@@ -18,7 +18,7 @@
     return R"({"kty":"oct","kid":")" + kid + R"(","alg":")" + alg + R"(","k":")" + k + R"("})";
 }
 
-sumackeel::config::SignedUrlServer setup() {
+sumackeel::config::SignedUrlServer make_server_config() {
     const std::string a(43, 'A'), b = "B" + std::string(42, 'A'), c = "C" + std::string(42, 'A');
     sumackeel::config::SignedUrlServer front;
     front.listen = "127.0.0.1:0";
@@ -38,37 +38,37 @@
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-sumackeel::config::Operator setup_of(const sumackeel::config::SignedUrlServer& front) {
-    sumackeel::config::Operator all;
-    all.signed_url_server = front;
-    return all;
+sumackeel::config::Operator operator_config_with(const sumackeel::config::SignedUrlServer& front) {
+    sumackeel::config::Operator result;
+    result.signed_url_server = front;
+    return result;
 }
 
 struct Site {
     Peer cache, parent, origin;
-    sumackeel::config::SignedUrlServer front = setup();
+    sumackeel::config::SignedUrlServer front = make_server_config();
     LinkVerifier signer{front};
     Daemon daemon{{host("s-cache", cache, "edge-1", "small"), host("s-parent", parent, "coast", "parent"),
                    host("s-origin", origin, "coast", "origin")},
                   "",
-                  setup_of(front)};
+                  operator_config_with(front)};
 
-    std::string link(const std::string& path, double good_for = 60, const std::string& jti = {},
+    std::string link(const std::string& path, double valid_for_s = 60, const std::string& jti = {},
                      const std::string& student = "ana", const std::string& kid = "link-1") {
         sumackeel::signed_url_server::Target target;
         REQUIRE(sumackeel::signed_url_server::parse_target(path, target));
-        const std::string uri = signer.sign(target, kid, "subject-1", student, now() + good_for, jti);
+        const std::string uri = signer.sign(target, kid, "subject-1", student, now() + valid_for_s, jti);
         return uri.substr(std::string("https://cache.example.org").size());
     }
-    std::string token(const std::string& student = "ana", double good_for = 60) {
-        return signer.student_token("student-1", student, now() + good_for);
+    std::string token(const std::string& student = "ana", double valid_for_s = 60) {
+        return signer.student_token("student-1", student, now() + valid_for_s);
     }
 };
 
 std::string request(const std::string& method, const std::string& target, const std::string& token,
-                    const std::string& body = {}, const std::string& more = {}) {
+                    const std::string& body = {}, const std::string& extra_headers = {}) {
     return method + " " + target + " HTTP/1.1\r\nHost: cache.example.org\r\n" +
-           (token.empty() ? "" : "Authorization: Bearer " + token + "\r\n") + more +
+           (token.empty() ? "" : "Authorization: Bearer " + token + "\r\n") + extra_headers +
            (body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" + body;
 }
 
@@ -97,32 +97,33 @@
 
 }  // namespace
 
-// Guards: what does not hold is turned away at the gate and costs the caches nothing.
+// Guards: requests with invalid links or tokens must be rejected before they reach a cache.
 TEST_CASE("valid, expired and forged links are replayed and their outcomes counted") {
     Site site;
-    const std::string ana = site.token(), valid = site.link(kVideo);
-    std::string elsewhere = valid;
-    elsewhere.replace(elsewhere.find("655/3"), 5, "655/4");
-    const std::string none = "eyJhbGciOiJub25lIn0.e30.";
-    const std::vector<std::pair<std::string, std::string>> replayed{
-        {valid, ana},
-        {valid, ana},
-        {site.link(kVideo, -1), ana},                         // expired
-        {tampered(valid), ana},                               // forged
-        {kVideo + "&URISigningPackage=" + none, ana},         // unsigned
-        {kVideo + "&URISigningPackage=" + ana, ana},          // a student's token is no link
-        {site.link(kVideo, 60, "", "ana", "link-old"), ana},  // by a key out of use
-        {elsewhere, ana},                                     // another part's link
-        {kVideo, ana},                                        // no link
-        {valid, site.token("bia")},                           // another student's link
+    const std::string ana_token = site.token(), valid = site.link(kVideo);
+    std::string other_slice_link = valid;
+    other_slice_link.replace(other_slice_link.find("655/3"), 5, "655/4");
+    const std::string unsigned_token = "eyJhbGciOiJub25lIn0.e30.";
+    const std::vector<std::pair<std::string, std::string>> cases{
+        {valid, ana_token},
+        {valid, ana_token},
+        {site.link(kVideo, -1), ana_token},                            // expired
+        {tampered(valid), ana_token},                                  // forged
+        {kVideo + "&URISigningPackage=" + unsigned_token, ana_token},  // unsigned
+        {kVideo + "&URISigningPackage=" + ana_token,
+         ana_token},  // a student token in place of a link signature
+        {site.link(kVideo, 60, "", "ana", "link-old"), ana_token},  // signed with an inactive key
+        {other_slice_link, ana_token},                              // link to another slice
+        {kVideo, ana_token},                                        // unsigned URL
+        {valid, site.token("bia")},                                 // another student's link
         {valid, ""},
-        {valid, tampered(ana)},
+        {valid, tampered(ana_token)},
         {valid, site.token("ana", -1)},
-        {"/video/../enrol", ana},
-        {"/nothing/7f3a9c21e0b4d655", ana}};
+        {"/video/../enrol", ana_token},
+        {"/nothing/7f3a9c21e0b4d655", ana_token}};
     Wire client = Wire::to(site.daemon.signed_port()), cache;
     std::map<int, int> outcomes;
-    for (const auto& [link, token] : replayed) {
+    for (const auto& [link, token] : cases) {
         client.send(request("GET", link, token));
         if (outcomes[200] < 2) {
             if (outcomes[200] == 0) cache = site.cache.accept();
@@ -142,22 +143,23 @@
     CHECK_FALSE(site.cache.called());
 }
 
-// Guards: the gate is passed once. What has been let in ends in one answer, whatever its link does meanwhile.
+// Guards: the link is checked once, on arrival. An accepted request gets exactly one response, even if its
+// link expires meanwhile.
 TEST_CASE("a link that expires in flight still ends in one answer") {
     Site site;
     const double expires_in = 0.3;
-    const double expired = now() + expires_in;  // or a little later: signing takes its time
-    // Large, so that the attempt itself has time long beyond the link's.
+    const double expired = now() + expires_in;  // or slightly later, because signing takes time
+    // A large object, so that the attempt's timeout is long after the link's expiry.
     const std::string link = site.link("/video/7f3a9c21e0b4d655/3?set=17&need=20000", expires_in),
-                      ana = site.token();
+                      ana_token = site.token();
     Wire client = Wire::to(site.daemon.signed_port());
-    client.send(request("GET", link, ana));
+    client.send(request("GET", link, ana_token));
     Wire cache = site.cache.accept();
     const Req req = read_req(cache);
     Wire other = Wire::to(site.daemon.signed_port());
     int status = 0;
-    while (status != 403) {  // until the gate itself takes the link for expired
-        other.send(request("GET", link, ana, "", "Prefer: wait=0.05\r\n"));
+    while (status != 403) {  // until the server itself treats the link as expired
+        other.send(request("GET", link, ana_token, "", "Prefer: wait=0.05\r\n"));
         status = read_response(other).status;
     }
     CHECK(now() >= expired);
@@ -168,22 +170,23 @@
     CHECK(client.quiet());
 }
 
-// Guards: enrol runs at most once a link, a forged one never reaches a cache, and what may have run is not
-// let in again, while what was refused unseen may be.
+// Guards: enrol is executed at most once per link, and a forged link never reaches a cache. The link of a
+// request that may have been executed is not accepted again; that of a request refused before it was sent
+// may be.
 TEST_CASE("enrol by links for one use") {
     Site site;
-    const std::string ana = site.token();
+    const std::string ana_token = site.token();
     Wire client = Wire::to(site.daemon.signed_port());
     const auto status_of = [&](const std::string& link) {
-        client.send(request("POST", link, ana, "form"));
+        client.send(request("POST", link, ana_token, "form"));
         return read_response(client).status;
     };
     CHECK(status_of(tampered(site.link(kEnrol, 60, "j1"))) == 403);
-    CHECK(status_of(site.link(kEnrol)) == 403);  // not for one use
+    CHECK(status_of(site.link(kEnrol)) == 403);  // not a one-time link
     CHECK_FALSE(site.cache.called());
 
     const std::string first = site.link(kEnrol, 60, "j2");
-    client.send(request("POST", first, ana, "form"));
+    client.send(request("POST", first, ana_token, "form"));
     Wire cache = site.cache.accept();
     const Req req = read_req(cache);
     CHECK(req.body == "form");
@@ -191,37 +194,37 @@
     CHECK(read_response(client).body == "in");
     CHECK(status_of(first) == 403);
 
-    const std::string broken = site.link(kEnrol, 60, "j3");
-    client.send(request("POST", broken, ana, "form"));
+    const std::string interrupted_link = site.link(kEnrol, 60, "j3");
+    client.send(request("POST", interrupted_link, ana_token, "form"));
     read_req(cache);
     cache.reset();
     CHECK(read_response(client).status == 502);
-    CHECK(status_of(broken) == 403);
+    CHECK(status_of(interrupted_link) == 403);
 }
 
-// Guards: a refusal says when to come back, and the link for one use that it met is good again.
+// Guards: a refusal tells the client when to retry, and the one-time link that was refused is valid again.
 TEST_CASE("refusals, time-outs and unmodified copies as HTTP words them") {
     Site site;
-    const std::string ana = site.token();
+    const std::string ana_token = site.token();
     Wire client = Wire::to(site.daemon.signed_port());
-    client.send(request("GET", site.link(kVideo), ana, "", "If-None-Match: \"ab12\"\r\n"));
+    client.send(request("GET", site.link(kVideo), ana_token, "", "If-None-Match: \"ab12\"\r\n"));
     Wire cache = site.cache.accept();
-    const Req held = read_req(cache);
-    CHECK(held.fields.at("got") == "ab12");
-    cache.send(held.id + " KEEP digest=ab12 0\r\n\r\n");
-    const Response same = read_response(client);
-    CHECK(same.status == 304);
-    CHECK(same.headers.at("ETag") == "\"ab12\"");
+    const Req conditional = read_req(cache);
+    CHECK(conditional.fields.at("got") == "ab12");
+    cache.send(conditional.id + " KEEP digest=ab12 0\r\n\r\n");
+    const Response not_modified = read_response(client);
+    CHECK(not_modified.status == 304);
+    CHECK(not_modified.headers.at("ETag") == "\"ab12\"");
 
-    client.send(request("POST", site.link(kEnrol, 60, "j0"), ana, "form", "Prefer: wait=0.4\r\n"));
+    client.send(request("POST", site.link(kEnrol, 60, "j0"), ana_token, "form", "Prefer: wait=0.4\r\n"));
     read_req(cache);
     CHECK(read_response(client).status == 504);
 
     site.cache.stop(), site.parent.stop(), site.origin.stop();
     cache.reset();
-    const std::string once = site.link(kEnrol, 60, "j1");
-    for (int i = 0; i < 2; ++i) {  // refused unseen, so the same link is let in a second time
-        client.send(request("POST", once, ana, "form"));
+    const std::string one_time_link = site.link(kEnrol, 60, "j1");
+    for (int i = 0; i < 2; ++i) {  // refused before it was sent, so the same link is accepted a second time
+        client.send(request("POST", one_time_link, ana_token, "form"));
         const Response refused = read_response(client);
         CHECK(refused.status == 503);
         CHECK(refused.headers.contains("Retry-After"));
@@ -229,35 +232,35 @@
     }
 }
 
-// Guards: what an operator takes back while the proxies run holds for the next request.
+// Guards: a revocation by an operator while the proxies run applies to the next request.
 TEST_CASE("a revoked link and a key that was switched off") {
-    const auto front = setup();
-    std::map<std::string, std::string> live;
-    const LinkVerifier gate(front, [&](const std::string& key) {
-        const auto found = live.find(key);
-        return found == live.end() ? std::nullopt : std::optional(found->second);
+    const auto front = make_server_config();
+    std::map<std::string, std::string> runtime_settings;
+    const LinkVerifier verifier(front, [&](const std::string& key) {
+        const auto found = runtime_settings.find(key);
+        return found == runtime_settings.end() ? std::nullopt : std::optional(found->second);
     });
     sumackeel::signed_url_server::Target target;
     REQUIRE(sumackeel::signed_url_server::parse_target(kEnrol, target));
-    const std::string uri = gate.sign(target, "link-1", "subject-1", "ana", now() + 60, "j1");
-    const std::string ana = gate.student_token("student-1", "ana", now() + 60);
+    const std::string uri = verifier.sign(target, "link-1", "subject-1", "ana", now() + 60, "j1");
+    const std::string ana_token = verifier.student_token("student-1", "ana", now() + 60);
     sumackeel::signed_url_server::Target link;
     REQUIRE(sumackeel::signed_url_server::parse_target(uri.substr(uri.find("/enrol")), link));
-    const auto status = [&](double at) { return gate.check(link, ana, true, at).status; };
+    const auto status = [&](double at) { return verifier.check(link, ana_token, true, at).status; };
     CHECK(status(now()) == 0);
     CHECK(status(now() + 65) == 401);
-    live["setting/leeway_s"] = "10";
+    runtime_settings["setting/leeway_s"] = "10";
     CHECK(status(now() + 65) == 0);
-    live["revoked/j1"] = "yes";
+    runtime_settings["revoked/j1"] = "yes";
     CHECK(status(now()) == 403);
-    live.erase("revoked/j1");
-    live["key/link-1"] = "off";
+    runtime_settings.erase("revoked/j1");
+    runtime_settings["key/link-1"] = "off";
     CHECK(status(now()) == 403);
-    live["key/student-1"] = "off";
+    runtime_settings["key/student-1"] = "off";
     CHECK(status(now()) == 401);
 }
 
-// Guards: a key taken out of the operator's file must open nothing from the reload on, without a restart.
+// Guards: a key removed from the operator's file must be rejected after a reload, without a restart.
 TEST_CASE("on SIGHUP the operator's file is read anew with its keys") {
     Peer cache, parent, origin;
     const std::vector<std::string> hosts{host("s-cache", cache, "edge-1", "small"),
@@ -266,7 +269,7 @@
     const Folder folder;
     const auto write_keys = [&](const std::string& link_kid) {
         std::string keys;
-        for (const auto& key : setup().keys) {
+        for (const auto& key : make_server_config().keys) {
             if (key.purpose == Purpose::link && key.kid != link_kid) continue;
             const char* purpose = key.purpose == Purpose::link      ? "link"
                                   : key.purpose == Purpose::student ? "student"
@@ -284,7 +287,7 @@
     const std::string config_file = folder.write("config.json", config_text(hosts));
     Daemon daemon(hosts, {}, sumackeel::config::load_operator(operator_file),
                   {config_file, operator_file, {}});
-    const sumackeel::config::SignedUrlServer front = setup();
+    const sumackeel::config::SignedUrlServer front = make_server_config();
     const LinkVerifier signer(front);
     sumackeel::signed_url_server::Target target;
     REQUIRE(sumackeel::signed_url_server::parse_target(kVideo, target));
@@ -300,7 +303,7 @@
     CHECK(read_response(client).status == 200);
     write_keys("link-old");
     kill(getpid(), SIGHUP);
-    // Files are read off the loop; the first answer behind that is by the new keys.
+    // Files are read outside the event loop; requests after the reload has completed use the new keys.
     client.send(request("GET", "/nothing", token));
     CHECK(read_response(client).status == 404);
     REQUIRE(daemon.reloaded(1));
@@ -313,16 +316,16 @@
     CHECK(read_response(client).status == 200);
 }
 
-// Guards: the same door stands before both fronts.
+// Guards: the same limits on new connections apply to both servers.
 TEST_CASE("clients that only connect don't shut a student out") {
     Peer cache, parent, origin;
-    sumackeel::config::SignedUrlServer front = setup();
+    sumackeel::config::SignedUrlServer front = make_server_config();
     front.connections = 8;
     Daemon daemon({host("s-cache", cache, "edge-1", "small"), host("s-parent", parent, "coast", "parent"),
                    host("s-origin", origin, "coast", "origin")},
-                  {}, setup_of(front));
-    std::vector<Wire> silent;
-    for (int i = 0; i < 40; ++i) silent.push_back(Wire::to(daemon.signed_port()));
+                  {}, operator_config_with(front));
+    std::vector<Wire> idle;
+    for (int i = 0; i < 40; ++i) idle.push_back(Wire::to(daemon.signed_port()));
     Wire student = Wire::to(daemon.signed_port());
     student.send(request("GET", "/nothing", {}));
     CHECK(read_response(student).status == 404);
