--- a/tests/daemon/list_test.cpp
+++ b/tests/daemon/list_test.cpp
@@ -32,8 +32,8 @@
     std::string address;
     int kind = 0;  // index into kNames
     EndpointState state = EndpointState::ready;
-    Micros answered =
-        0;  // time from the last response to the last confirmation of the list; negative: never responded
+    // Time from the last response to the last confirmation of the list; negative: never responded.
+    Micros answered = 0;
 };
 
 // A list as a proxy saved it `age` ago.
@@ -124,8 +124,8 @@
 }  // namespace
 
 // Guards: caches on an hour-old list may have been drained since without the proxy knowing. They get no
-// request; reads go to the origin within its budget, requests that run there go there, and all others are
-// refused at once.
+// request; reads go to the origin within its budget, requests executed at the origin go there, and all others
+// are refused at once.
 TEST_CASE("an hour-old list and dead discovery: no box gets work, each request gets its answer") {
     Box drained, serving, origin;
     const Snapshot list = list_of({{"s-drained", drained.address(), 0, EndpointState::draining},
@@ -205,8 +205,7 @@
                 fprintf(stderr, "client %d lost its connection: %s\n", instance, lost.what());
             }
         });
-    std::this_thread::sleep_until(start +
-                                  std::chrono::milliseconds(700));  // the proxies started before the cache
+    std::this_thread::sleep_until(start + std::chrono::milliseconds(700));  // cache starts last
     cold.come_back();
     for (std::thread& client : clients) client.join();
     CHECK(answered == 300);
@@ -253,8 +252,7 @@
     const auto asked = box.asked();
     REQUIRE(asked.size() == 1);
     REQUIRE(asked[0].fields.contains("accept"));
-    CHECK(std::stol(asked[0].fields.at("accept")) <
-          10'000);  // ms since the purge; without the field any age is accepted
+    CHECK(std::stol(asked[0].fields.at("accept")) < 10'000);  // ms since the purge; absent: any age
 }
 
 // Guards: when discovery returns, the list is replaced within a second and the event numbers continue.
@@ -277,8 +275,7 @@
     log.come_back();
     CHECK(saved.wait_until(
         [](const Snapshot& now) { return now.last_sequence == 41 && now.confirmed_age >= 0; }));
-    CHECK(log.asked_behind().front() ==
-          39);  // one less than the last: a source that has event 40 must resend it
+    CHECK(log.asked_behind().front() == 39);  // one less: a source that has 40 must resend it
     const auto before = old_box.count();
     for (int i = 21; i <= 80; ++i) CHECK(send_and_get_result(client, i, request_for("sheet", i)) == 0);
     CHECK(old_box.count() == before);
--- a/tests/daemon/signed_test.cpp
+++ b/tests/daemon/signed_test.cpp
@@ -110,12 +110,11 @@
         {site.link(kVideo, -1), ana_token},                            // expired
         {tampered(valid), ana_token},                                  // forged
         {kVideo + "&URISigningPackage=" + unsigned_token, ana_token},  // unsigned
-        {kVideo + "&URISigningPackage=" + ana_token,
-         ana_token},  // a student token in place of a link signature
-        {site.link(kVideo, 60, "", "ana", "link-old"), ana_token},  // signed with an inactive key
-        {other_slice_link, ana_token},                              // link to another slice
-        {kVideo, ana_token},                                        // unsigned URL
-        {valid, site.token("bia")},                                 // another student's link
+        {kVideo + "&URISigningPackage=" + ana_token, ana_token},       // student token, not a link
+        {site.link(kVideo, 60, "", "ana", "link-old"), ana_token},     // signed with an inactive key
+        {other_slice_link, ana_token},                                 // link to another slice
+        {kVideo, ana_token},                                           // unsigned URL
+        {valid, site.token("bia")},                                    // another student's link
         {valid, ""},
         {valid, tampered(ana_token)},
         {valid, site.token("ana", -1)},
