--- a/src/expectations/counterexample_file.cpp
+++ b/src/expectations/counterexample_file.cpp
@@ -64,8 +64,8 @@
     Value& scenario = root["world"];
     scenario["title"] = example.world.title;
     scenario["school"] = fleet.site.zones[example.world.zone];
-    scenario["seed"] =
-        std::to_string(example.world.seed);  // as a string: JSON numbers are not exact for 64 bits
+    // A string, as JSON numbers do not hold all 64-bit values exactly.
+    scenario["seed"] = std::to_string(example.world.seed);
     scenario["happenings"] = Value(Json::arrayValue);
     for (const FaultEvent& one : example.world.faults) {
         Value item;
--- a/src/expectations/evaluator.cpp
+++ b/src/expectations/evaluator.cpp
@@ -224,9 +224,9 @@
 
 // The first violation of the one expectation, if there is any.
 std::optional<Violation> find_violation(const Scenario& scenario, const FleetModel& fleet,
-                                        const std::vector<Expectation>& one,
+                                        const std::vector<Expectation>& expectations,
                                         const std::vector<SimulatedRequest>& requests) {
-    Evaluator evaluator(fleet, one, scenario);
+    Evaluator evaluator(fleet, expectations, scenario);
     simulate(scenario, fleet, requests, evaluator);
     return evaluator.tallies()[0].first;
 }
@@ -241,15 +241,15 @@
 
 std::optional<Counterexample> shrink(const Scenario& scenario, const FleetModel& fleet, const Suite& suite,
                                      std::size_t index) {
-    const std::vector<Expectation> one{suite.expectations[index]};
+    const std::vector<Expectation> expectations{suite.expectations[index]};
     Counterexample best{scenario, traffic_of(scenario, fleet, suite.traffic), {}, 0};
-    auto violation = find_violation(best.world, fleet, one, best.asks);
+    auto violation = find_violation(best.world, fleet, expectations, best.asks);
     if (!violation) return std::nullopt;
     best.broken = *violation;
     const auto try_smaller = [&](const Scenario& smaller, const std::vector<SimulatedRequest>& requests) {
         if (best.tried >= kMaxShrinkRuns) return false;
         ++best.tried;
-        const auto broken = find_violation(smaller, fleet, one, requests);
+        const auto broken = find_violation(smaller, fleet, expectations, requests);
         if (!broken) return false;
         best.world = smaller;
         best.asks = requests;
--- a/src/expectations/evaluator.h
+++ b/src/expectations/evaluator.h
@@ -55,11 +55,11 @@
   public:
     Evaluator(const FleetModel& fleet, const std::vector<Expectation>& expectations, const Scenario& scenario)
         : fleet_(fleet), expectations_(expectations), scenario_(scenario), counts_(expectations.size()) {
-        for (const Expectation& one : expectations) {
-            groups_.push_back(one.group.members(fleet));
-            has_patterns_ = has_patterns_ || !one.object.empty();
+        for (const Expectation& expectation : expectations) {
+            groups_.push_back(expectation.group.members(fleet));
+            has_patterns_ = has_patterns_ || !expectation.object.empty();
             conditions_.emplace_back();
-            for (const Condition& condition : one.conditions)
+            for (const Condition& condition : expectation.conditions)
                 conditions_.back().push_back(condition.group.members(fleet));
         }
     }
--- a/src/expectations/fault_scenario.cpp
+++ b/src/expectations/fault_scenario.cpp
@@ -66,9 +66,8 @@
     return static_cast<int>(mix64(static_cast<std::uint64_t>(object) + 77) % 256);
 }
 
-// Every fault alone for each zone that it can affect, then randomly drawn pairs of faults. The title includes
-// the zone, whose proxy makes the decisions.
-// NOLINTNEXTLINE(readability-function-size): not split yet
+// Every fault alone for each zone that it can affect, then pairs of faults, drawn by seed. The title includes
+// the zone, whose proxy makes the decisions. NOLINTNEXTLINE(readability-function-size): not split yet
 std::vector<Scenario> enumerate(const FleetModel& fleet, const Suite& suite) {
     const auto duration = static_cast<Micros>(suite.traffic.seconds * 1e6);
     std::vector<NamedFault> faults;
--- a/src/expectations/fleet_diff.cpp
+++ b/src/expectations/fleet_diff.cpp
@@ -73,8 +73,8 @@
         scenario.zone = zone_named(after, zone);
         simulate(scenario, after, requests, new_choices);
         std::map<int, RoutingShift> shifts_by_class;
-        std::map<std::pair<int, int>, bool>
-            first_targets;  // by class and object; only the first request for each counts
+        // By class and object; only the first request for each counts.
+        std::map<std::pair<int, int>, bool> first_targets;
         for (const SimulatedRequest& request : requests) {
             const auto old_choice = old_choices.by_request.find(request.number),
                        new_choice = new_choices.by_request.find(request.number);
--- a/src/expectations/parser.cpp
+++ b/src/expectations/parser.cpp
@@ -38,7 +38,7 @@
     {Rule::no_new_work_after, "no_new_work_after", RuleForm::Value::number, 0, 60},
 }};
 
-const RuleForm& form_of(Rule rule) {
+const RuleForm& rule_form(Rule rule) {
     return *std::find_if(kRuleForms.begin(), kRuleForms.end(),
                          [&](const RuleForm& f) { return f.rule == rule; });
 }
@@ -280,12 +280,11 @@
     // Whether a request can fall under both with all conditions of both met: recognized only if the
     // conditions of one include those of the other. Other conflicts show up in the simulation.
     static bool may_overlap(const Expectation& a, const Expectation& b) {
-        const auto conditions_subset = [](const Expectation& subset_side, const Expectation& superset_side) {
-            return std::all_of(
-                subset_side.conditions.begin(), subset_side.conditions.end(), [&](const Condition& c) {
-                    return std::find(superset_side.conditions.begin(), superset_side.conditions.end(), c) !=
-                           superset_side.conditions.end();
-                });
+        const auto conditions_subset = [](const Expectation& inner, const Expectation& outer) {
+            return std::all_of(inner.conditions.begin(), inner.conditions.end(), [&](const Condition& c) {
+                return std::find(outer.conditions.begin(), outer.conditions.end(), c) !=
+                       outer.conditions.end();
+            });
         };
         const bool objects = a.object.empty() || b.object.empty() || a.object == b.object;
         const bool groups = a.group_number < 0 || b.group_number < 0 || a.group_number == b.group_number;
@@ -326,7 +325,7 @@
 }  // namespace
 
 const char* name_of(Rule rule) {
-    return form_of(rule).name;
+    return rule_form(rule).name;
 }
 
 const char* name_of(NotifiedState state) {
@@ -363,7 +362,7 @@
 
 std::string Expectation::text() const {
     std::string description = name_of(rule);
-    switch (form_of(rule).value) {
+    switch (rule_form(rule).value) {
         case RuleForm::Value::group:
             description += " " + group.text();
             break;
--- a/src/expectations/simulation.cpp
+++ b/src/expectations/simulation.cpp
@@ -22,8 +22,8 @@
 constexpr Micros kZoneRoundTrip = 2 * kMs;          // to an endpoint of the zone and back
 constexpr Micros kSourceFirstByte = 40 * kMs;       // until a source's first byte
 constexpr Micros kOriginFirstByte = 60 * kMs;       // the same from the origin through a parent
-constexpr Micros kNotificationDelay = 2'000 * kMs;  // from a failure until the endpoint list says so
-constexpr double kColdSlowdown = 3;                 // transfer time of a just restarted endpoint, relative
+constexpr Micros kNotificationDelay = 2'000 * kMs;  // from a failure until the list removes the endpoint
+constexpr double kColdSlowdown = 3;                 // factor on transfer times right after a restart
 
 struct MemberState {
     bool refuses_connections = false, unresponsive = false, fails_fills = false, full = false,
@@ -195,8 +195,8 @@
         routing::RequestReceived received;
         received.id = std::to_string(request.number);
         received.class_index = request.class_index;
-        received.object =
-            object_name(request.object);  // also if uncacheable: without one no source is selected
+        // Set for uncacheable requests too: without an object the router selects no source.
+        received.object = object_name(request.object);
         received.purge_group = group_of(request.object);
         received.part = request.part;
         received.size_kb = request.size_kb;
@@ -334,7 +334,7 @@
         return found == member_indices_.end() ? -1 : found->second;
     }
 
-    // Factor on the transfer time of a warm member.
+    // Transfer time of this member relative to a warm one.
     double transfer_slowdown(int member) const {
         const MemberState& state = members_[member];
         if (state.cold_since < 0) return 1;
