--- a/tests/faults/drain_test.py
+++ b/tests/faults/drain_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Drains of a real process under clients of unlike habits, judged by the day-to-day page from what the clients saw.
+"""Drains of a real process under clients with different behaviour, checked against the documented rules from the clients' view.
 
 Usage: drain_test.py SUMACKEEL LIBRARY STORY
 """
@@ -11,14 +11,14 @@
 from http_clients import HttpClient, SignedSetup
 from rig import SERVED, Proxy, listening, run_story, want
 
-SERVING_S = 2.0  # of a drain: no request is rejected for it
+SERVING_S = 2.0  # start of a drain, in which no request is rejected because of it
 HELD_AFTER_S = 4.0
-READY_AFTER_S = 2.0  # a yes is due so long after the drain's end
+READY_AFTER_S = 2.0  # readiness has to be reported within this time after the drain's end
 BEFORE_S = 1.0       # of traffic before the first drain
 
 
 class Play:
-    """One process, its pop caches, its clients, and the front that asks each 0.1 s whether it is ready."""
+    """One process, its pop caches, its clients, and a load balancer that polls readiness every 0.1 s."""
 
     def __init__(self, program, library, delay, timeout=3.0, body=b"ok", signed=False, **more):
         self.pop_caches = PopCaches(delay, body)
@@ -28,7 +28,7 @@
         self.proxy = Proxy(program, library, self.pop_caches.at, change=settings_with(timeout), **more)
         self.delay, self.timeout, self.told_at, self.ready_seen = delay, timeout, None, []
         self.world = self.front = self.at_stop = None
-        self.others = []  # processes that this one has replaced
+        self.others = []  # processes replaced by this one
 
     def links(self):
         return self.signed.links(self.program)
@@ -64,7 +64,7 @@
         await asyncio.sleep(BEFORE_S)
 
     async def drain(self):
-        self.called_at = time.monotonic()  # the drain began no sooner than this, and by the yes at the latest
+        self.called_at = time.monotonic()  # earliest start of the drain; the latest is the successful reply
         want(await self.call("/ops/drain/start") == 200, "the drain got no yes")
         self.told_at = time.monotonic()
 
@@ -137,14 +137,14 @@
 
 
 def served_share(play):
-    """Of the requests written in the first two seconds of the drain, how many were served."""
+    """The share of requests written in the first two seconds of the drain that were served."""
     first = [one for client in play.world.clients for one in client.done
              if client.habit != "floods" and play.told_at <= one.written < play.told_at + 1.9]
     return sum(one.place == SERVED for one in first) / max(1, len(first))
 
 
 def unlike_habits(program, library):
-    """At 4 s no connection is idle or has had a request in the last 2 s; nothing is lost; two seconds are served."""
+    """At 4 s no connection is idle or has had a request in the last 2 s; no request is lost; the first 2 s are served."""
     for delay, timeout in ((0.05, 3.0), (0.3, 3.0), (0.05, 1.0)):
         async def script(play):
             await play.drain()
@@ -159,7 +159,7 @@
 
 
 def pop_caches_hang(program, library):
-    """Pop caches hang through the whole drain, deadlines are longer than it, clients go on sending."""
+    """Pop caches hang during the whole drain, deadlines exceed it, and clients keep sending."""
     for timeout in (3.0, 6.0):
         async def script(play):
             play.pop_caches.hanging = True
@@ -172,7 +172,7 @@
 
 
 def stopped(program, library):
-    """A drain that is stopped at any moment goes back to serving, and no request is lost by it."""
+    """A drain that is cancelled at any moment returns to serving without losing a request."""
     async def script(play):
         for seconds in (0.0, 0.3, 1.9, 2.02, 2.1, 3.4, 3.52, 3.7):
             await play.drain()
@@ -185,7 +185,7 @@
 
 
 def series(program, library):
-    """Drains in series, with reloads in them, a pause, and one that is told again while it holds."""
+    """Consecutive drains with reloads during them, a pause, and a repeated drain call while one is active."""
     async def script(play):
         for round_ in range(4):
             await play.drain()
@@ -207,7 +207,7 @@
 
 
 def then_ended(program, library):
-    """SIGTERM at any moment of a drain: nothing is lost, and the process leaves before it is killed."""
+    """SIGTERM at any moment of a drain: no request is lost, and the process exits before it would be killed."""
     for seconds in (0.1, 1.5, 2.1, 3.6):
         async def script(play):
             await play.drain()
@@ -221,12 +221,12 @@
 
 
 def phase_of(proxy):
-    """What readiness says; empty where nobody answers yet."""
+    """The readiness reply; empty if no process answers yet."""
     return proxy.call("/ops/readiness", "GET")[1].strip()
 
 
 def upgrade(program, library):
-    """A drain told before an upgrade, in the middle of one, or to both processes: it holds on both, and nothing is lost."""
+    """A drain started before an upgrade, during it, or on both processes applies to both, and no request is lost."""
     for told_to in ("old before", "old in the middle", "new"):
         clients = listening()
 
@@ -253,7 +253,7 @@
 
 
 def slow_readers(program, library):
-    """Clients that read 1 MB a second and ask on while large answers still lie before them lose nothing by a drain's end."""
+    """Clients reading 1 MB/s that send further requests while large responses are unread lose nothing when a drain ends."""
     def habits(world, _delay):
         return [SlowReader(world, "slow to read", most_open=count) for count in (1, 1, 2, 3, 4, 6)]
 
@@ -268,7 +268,7 @@
 
 
 def signed_front(program, library):
-    """The same on the signed front, by HTTP's own means: the last answer on a connection says that it is the last."""
+    """The same on the signed listener, by means of HTTP: the last response on a connection announces its close."""
     for hanging in (False, True):
         async def script(play):
             sites = [HttpClient(play.world, kind, play.links()) for kind in
--- a/tests/faults/duties_test.py
+++ b/tests/faults/duties_test.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Duties with a time limit of a real process, where the party that each of them waits for never does its part: callers
-of the operators' address, the disk, the log.
+"""Time limits of a real process when what it waits for never responds: callers of the admin API, the disk, or the reader
+of its log.
 
 Usage: duties_test.py SUMACKEEL LIBRARY STORY
 """
@@ -13,12 +13,12 @@
 
 from rig import SERVED, Boxes, Crowd, Proxy, Talking, bans_of, keep_ban, reserved_port, run_story, want
 
-KILLED_AFTER_S = 3.7    # behind SIGTERM, at the earliest
-ANSWER_WITHIN_S = 1.0   # each operators' call, under any load
+KILLED_AFTER_S = 3.7    # earliest SIGKILL after SIGTERM
+ANSWER_WITHIN_S = 1.0   # each admin API call, under any load
 READY_WITHIN_S = 10
-ENDS_WITHIN_S, CAN_NOT_START = 20, 2  # a start that can't be finished, and its status
-LEADER_WITHIN_S = 20    # once the disk answers again
-SLOW_REQUEST_S = 0.3    # pop caches answer at once
+ENDS_WITHIN_S, CAN_NOT_START = 20, 2  # a startup that can't complete, and its exit status
+LEADER_WITHIN_S = 20    # after the disk responds again
+SLOW_REQUEST_S = 0.3    # pop caches respond immediately
 CALLS = (("GET", "/ops/readiness"), ("GET", "/ops/stats"), ("POST", "/ops/pop-caches/down/s-a"),
          ("POST", "/ops/pop-caches/up/s-a"), ("POST", "/ops/drain/start"), ("POST", "/ops/drain/stop"))
 
@@ -30,8 +30,8 @@
 
 
 def silent_callers(program, library):
-    """An operators' call has its answer within 1 s behind any number of callers that send nothing, half a call, or a whole
-    one whose answer they never read."""
+    """An admin API call is answered within 1 s despite any number of callers that send nothing, half a call, or a whole call
+    whose response they never read."""
     boxes = Boxes()
     proxy = Proxy(program, library, boxes.at)
     try:
@@ -55,13 +55,13 @@
 
 
 def leaves_in_time(proxy):
-    """Told to end, it has left by itself before a SIGKILL at its earliest."""
+    """After SIGTERM the process exits by itself before the earliest SIGKILL."""
     proxy.process.terminate()
     want(proxy.process.wait(KILLED_AFTER_S) == 0, "it did not leave")
 
 
 def served_meanwhile(proxy, action):
-    """Clients ask while `action` runs: what it returned, and how long the slowest request took."""
+    """Sends client requests while `action` runs; returns its result and the duration of the slowest request."""
     crowd = Crowd(proxy.port)
     time.sleep(0.3)
     result = action()
@@ -73,8 +73,8 @@
 
 
 def slow_disk(program, library):
-    """A disk that takes 0.4 s, 3 s or for ever for a write, a sync or an open holds up neither a call nor a request, and
-    what was told is on disk once that answers."""
+    """A disk that takes 0.4 s, 3 s or forever for a write, a sync or an open delays neither a call nor a request, and
+    accepted changes are on disk once it responds."""
     for call, seconds in (("fsync", 0.4), ("fsync", 3), ("write", 3), ("rename", 3), ("open", 3), ("fsync", 1000)):
         boxes = Boxes()
         proxy = Proxy(program, library, boxes.at, f"{call}=WAIT{seconds}/1@1-1000", under="sumackeel")
@@ -99,7 +99,7 @@
 
 
 def disk_hangs_elsewhere(program, library):
-    """A hand-over that is never read at a start, and a configuration that is never read at a reload, hold up nobody."""
+    """A hand-over read that hangs at startup, and a configuration read that hangs at a reload, block no caller or client."""
     boxes = Boxes()
     proxy = Proxy(program, library, boxes.at, "open=WAIT1000/1@0-1000", under="sumackeel")
     try:
@@ -126,14 +126,14 @@
 
 
 def newest_kept(program, talking):
-    """What the tool says of the newest file in the folder of the recovery."""
+    """The tool's output for the newest file in the recovery directory."""
     return subprocess.run([program, "recovery", "verify", os.path.join(talking.folder.name, "kept")], check=False,
                           capture_output=True, text=True).stdout.splitlines()
 
 
 def kept_folder_hangs_at_start(program, library):
-    """Nobody waits for a folder of the recovery that is never read; one that is read late gets its next generation behind
-    those that were there."""
+    """Nothing waits for a recovery directory whose read hangs; if the read completes late, the next generation is numbered
+    after the existing ones."""
     for faults, answers in (("open=WAIT1000/1@0-1000", False), ("open=WAIT8/1@0-1", True)):
         boxes, talking = Boxes(), Talking()
         first = talking.start(program, library, boxes)
@@ -154,14 +154,14 @@
             leaves_in_time(second)
             after = newest_kept(program, talking)[0]
             print(f"before: {before}; after: {after}")
-            # The ban from before came by the hand-over.
+            # The earlier ban was received through the hand-over.
             want((after > before and ", 2 bans" in after) == answers, f"{before!r}, then {after!r}")
         finally:
             second.end()
 
 
 def kept_folder_hangs(program, library):
-    """A folder of the recovery that hangs while the process runs holds up neither a call nor a request, nor the end."""
+    """A recovery directory that hangs at run time delays neither calls nor requests nor the shutdown."""
     for call in ("open", "write", "fsync", "rename"):
         boxes, talking = Boxes(), Talking()
         proxy = talking.start(program, library, boxes, f"{call}=WAIT1000/1@6-1000", "kept")
@@ -179,7 +179,7 @@
 
 
 def start_number_hangs(program, library):
-    """A process whose start number is never on disk says so and ends: the platform starts another."""
+    """A process that can't store its start number on disk reports this and exits, so that the platform starts another."""
     boxes, talking = Boxes(), Talking()
     proxy = talking.begin(program, library, boxes, "open=WAIT1000/1@0-1000", "state")
     try:
@@ -193,7 +193,7 @@
 
 
 class Voters:
-    """Three processes that vote on the agreed log; calls for files below their logs' folders take `faults`."""
+    """Three voters of the replicated log; `faults` apply to calls on files below their log directories."""
 
     def __init__(self, program, library, boxes, faults):
         names = ["n0", "n1", "n2"]
@@ -226,7 +226,7 @@
 
 
 def elect_over_hanging_disk(voters):
-    """The leader is killed while the disk hangs: how long the calls and the requests of the other two took at the worst."""
+    """Kills the leader while the disk hangs; returns the longest call and request durations on the other two."""
     until = time.monotonic() + READY_WITHIN_S
     for proxy in voters.all:
         proxy.ready(READY_WITHIN_S)
@@ -246,8 +246,8 @@
 
 
 def voters_disk_hangs(program, library):
-    """Voters whose disk hangs for a sync, a write or an open serve on and answer calls while they elect another leader; there
-    is one once the disk answers again, and they leave in time where it never does."""
+    """Voters whose disk hangs in a sync, a write or an open keep serving and answer calls during the leader election; a leader
+    is elected once the disk responds again, and they exit in time if it never does."""
     for faults, heals in (("fsync=WAIT3/1@8-14", True), ("write=WAIT1000/1@8-1000", False), ("open=WAIT1000/1@8-1000", False)):
         boxes = Boxes()
         voters = Voters(program, library, boxes, faults)
@@ -267,7 +267,7 @@
 
 
 def voters_folder_hangs_at_start(program, library):
-    """Nobody waits for a folder of the agreed log that is never read."""
+    """Nothing waits for a replicated log directory whose read hangs."""
     voters = Voters(program, library, Boxes(), "open=WAIT1000/1@0-1000")
     try:
         for proxy in voters.all:
@@ -283,7 +283,7 @@
 
 
 def log_unread(program, library):
-    """A log that nobody reads holds up neither a call nor a request, nor the end; what was left out is counted."""
+    """Log output that nobody reads delays neither calls nor requests nor the shutdown; dropped lines are counted."""
     for level in ("info", "debug"):
         unread, log = os.pipe()
         os.set_blocking(log, False)
--- a/tests/faults/faults_test.py
+++ b/tests/faults/faults_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A real process whose library calls fail as Linux documents, whose wall clock steps, or that stands still for a while.
+"""Fault injection on a real process: failing library calls, wall clock steps and process pauses.
 
 Usage: faults_test.py SUMACKEEL LIBRARY STORY
 """
@@ -17,11 +17,11 @@
 
 ACCEPT_ERRORS = "ECONNABORTED+ENFILE+ENOBUFS+EMFILE+EPROTO+EINTR"
 HOUR = 3600
-BOX_DELAY_S = 0.03  # an answer is out for a while, so that there is something for a fault to meet
+BOX_DELAY_S = 0.03  # responses are delayed so that requests are in flight when a fault occurs
 
 
 def play(program, library, faults, seconds, judge, during=None, **more):
-    """Clients ask for so many seconds of the process's own time; `judge` gets the crowd and the proxy."""
+    """Sends client load for `seconds` of the process's own time; `judge` is called with the clients and the proxy."""
     boxes = Boxes(BOX_DELAY_S)
     proxy = Proxy(program, library, boxes.at, faults, **more)
     try:
@@ -44,13 +44,13 @@
 
 
 def clock_steps(program, library):
-    """Deadlines, waits and health don't follow a wall clock that steps ahead or back, by seconds or by an hour."""
+    """Deadlines, timeouts and health are unaffected by wall clock steps, forwards or backwards, of seconds or an hour."""
     for step in (5, HOUR, -5, -HOUR):
         play(program, library, f"clock={step}@3", 4.5, nothing_refused)
 
 
 def accept_fails(program, library):
-    """Who waits in the listener's queue stays there when accept fails, and is taken afterwards."""
+    """Connections pending in the listen backlog survive failing accept calls and are accepted afterwards."""
     def nothing_lost(crowd, _proxy):
         want(not crowd.lost(), f"lost: {crowd.lost()[:3]}")
         want(crowd.count(SERVED) > 100, "hardly anything served")
@@ -61,7 +61,7 @@
 
 
 def accept_stands_still(program, library):
-    """A second in which every accept fails: no busy loop, no server blamed, all served after it."""
+    """Every accept fails for one second: no busy loop, no server is marked as failed, and all clients are served afterwards."""
     spent = []
 
     def measure(proxy):
@@ -82,7 +82,7 @@
 
 
 def socket_at_start(program, library):
-    """A descriptor that can't be had for a moment delays a start; what is wrong for good ends it, status 2, one line."""
+    """A temporary lack of descriptors delays startup; a permanent error ends it with status 2 and one line of output."""
     for faults in ("socket=ENFILE/1@0-1", "socket=EMFILE+ENOBUFS+ENOMEM/1@0-1"):
         play(program, library, faults, 2, nothing_refused)
     boxes = Boxes()
@@ -101,7 +101,7 @@
 
 
 def process_stands_still(program, library):
-    """A process that was stopped for a second blames no server for it."""
+    """After the process was stopped for a second, it doesn't attribute the pause to any server."""
     def stop(proxy):
         proxy.wait_until(1.5)
         proxy.process.send_signal(signal.SIGSTOP)
@@ -123,8 +123,8 @@
 
 
 def hand_over_fails(program, library):
-    """A ban told while the hand-over's folder fails is known to the process behind, also where this one is killed
-    once it has said that it is kept."""
+    """A ban set while the hand-over directory fails reaches the successor process, also if this process is killed
+    right after it reported the ban as stored."""
     for faults in DISK_ERRORS:
         boxes = Boxes()
         first = Proxy(program, library, boxes.at, faults, under="sumackeel")
@@ -145,7 +145,7 @@
 
 
 def hand_over_unreadable(program, library):
-    """A process that can't read the hand-over for the first seconds waits for it, and does not forget a ban."""
+    """A process that can't read the hand-over in its first seconds waits for it and doesn't lose a ban."""
     boxes = Boxes()
     first = Proxy(program, library, boxes.at)
     first.ready()
@@ -155,7 +155,7 @@
         second = Proxy(program, library, boxes.at, f"open=ENFILE/1@0-{unreadable_for}", under="sumackeel", folder=first.folder)
         while second.call("/ops/readiness", "GET")[0] == 0:
             time.sleep(0.01)
-        status, said = second.call("/ops/pop-caches/down/s-b")  # before the first is read: the two are put together
+        status, said = second.call("/ops/pop-caches/down/s-b")  # before the hand-over is read: both bans are merged
         want(status == 200 and "not kept" in said, f"a ban before the hand-over was read: {status} {said!r}")
         second.ready()
         second.wait_until(unreadable_for + 0.7)
@@ -170,7 +170,7 @@
 
 
 def recovery_folder_fails(program, library):
-    """What the folder of the recovery is owed is written once it can be, with nothing told meanwhile."""
+    """Pending writes to the recovery directory are done once it works again, without a further call to trigger them."""
     for faults in DISK_ERRORS:
         boxes, talking = Boxes(), Talking()
         first = talking.start(program, library, boxes, faults.replace("@1-4", "@5-8"), "kept")
@@ -192,7 +192,7 @@
 
 
 def folders_fail_at_start(program, library):
-    """A start whose folders can't be read or written for two seconds forgets neither a ban nor its start number."""
+    """Startup with directories that can't be read or written for two seconds loses neither a ban nor the start number."""
     for faults in ("open=EIO/1@0-2", "write=ENOSPC/1@0-2", "fsync=EIO/1@0-2", "rename=EIO+ENOSPC/1@0-2"):
         for under in ("state", "kept"):
             boxes, talking = Boxes(), Talking()
@@ -210,13 +210,13 @@
 
 
 def many_caches(settings):
-    """So many pop caches that requests go on meeting some to which no connection is open."""
+    """Enough pop caches that requests keep being routed to some without an open connection."""
     hosts = settings["known"]["results"][0]["fleet"]["hosts"]
     hosts += [dict(hosts[0], host=f"s-{number:03d}") for number in range(200)]
 
 
 def own_shortage(program, library):
-    """Descriptors that this process can't have for a moment are no failure of the pop caches it wanted them for."""
+    """A temporary lack of descriptors in this process isn't counted as a failure of the pop caches it was connecting to."""
     for error in ("ENFILE", "ENOBUFS", "EMFILE", "ENOMEM"):
         boxes = Boxes(BOX_DELAY_S)
         proxy = Proxy(program, library, boxes.at, f"socket={error}/1@2-2.8", change=many_caches)
@@ -237,8 +237,8 @@
 
 
 def server_connections_break(program, library):
-    """Reads and writes on connections to pop caches fail in all the ways of a broken one: all have their answer, and
-    what must not run twice is sent once where it may have run."""
+    """Reads and writes on pop cache connections fail with each error of a broken connection: every request gets a
+    response, and a non-idempotent request that may have been executed isn't sent again."""
     boxes = Boxes(BOX_DELAY_S)
     port = boxes.at.rsplit(":", 1)[1]
     for faults in ("read=ETIMEDOUT+EHOSTUNREACH+ECONNRESET/20", "write=ETIMEDOUT+EPIPE+EHOSTUNREACH/20"):
@@ -259,7 +259,7 @@
 
 
 class Recorder:
-    """A pop cache that answers BROKE after a while, or never, and notes when each attempt was out."""
+    """A pop cache that answers BROKE after a delay, or never, and records when each attempt was in flight."""
 
     def __init__(self):
         self.listener, self.lock, self.out = listening(), threading.Lock(), {}
@@ -282,7 +282,7 @@
                 lines.read(int(words[3]) + 2)
                 with self.lock:
                     self.out.setdefault(words[1], []).append([time.monotonic(), None])
-                if int(words[1], 16) % 2 == 0:  # the others never have an answer
+                if int(words[1], 16) % 2 == 0:  # the others are never answered
                     time.sleep(BOX_DELAY_S)
                     self.ended(words[1])
                     conn.sendall(f"{words[1]} BROKE - 0\r\n\r\n".encode())
@@ -294,7 +294,7 @@
 
 
 def attempts_are_bounded(program, library):
-    """Where the settings allow no second copy and three tries, no two are out at once and there is no fourth."""
+    """With hedging disabled and three attempts allowed, no two attempts overlap and there is no fourth."""
     def change(settings):
         settings["settings"]["limits"].update(second_copies=False, most_tries=3)
     boxes = Recorder()
@@ -308,7 +308,7 @@
         want(not crowd.lost(), f"lost: {crowd.lost()[:3]}")
         want(max(len(one) for one in boxes.out.values()) <= 3, "a fourth try")
         want(any(len(one) > 1 for one in boxes.out.values()), "nothing was tried again")
-        slack = 0.02  # threads of this program note the two ends
+        slack = 0.02  # start and end are recorded by different threads of this test
         both = [one for one in boxes.out.values() for a, b in zip(one, one[1:]) if a[1] is None or b[0] < a[1] - slack]
         want(not both, f"two out at once: {both[:2]}")
     finally:
@@ -316,7 +316,7 @@
 
 
 TIMEOUT_S, LIMIT_SLACK_S = 3.0, 0.15
-READINGS = 16  # of the clock behind a read, ahead of which calls.cpp stops the process in turn
+READINGS = 16  # clock readings after a read; calls.cpp stops the process before each of them in turn
 
 
 def is_stopped(process):
@@ -325,7 +325,7 @@
 
 
 class Resumer(threading.Thread):
-    """Lets a process that has stopped go on `pause` seconds later, each time, until it is told to end."""
+    """Resumes a stopped process `pause` seconds after each stop, until it is told to end."""
 
     def __init__(self, process, pause):
         super().__init__(daemon=True)
@@ -346,11 +346,11 @@
 
 
 def limit_behind_pause(program, library):
-    """The limit told to a pop cache is what the client has left when it is written, also where the process stood still while
-    the connection for it came up, right behind reading it, or ahead of any reading of the clock from then on."""
+    """The time limit sent to a pop cache is the time the client has left when it is written, also if the process was stopped
+    while the connection was established, right after reading the request, or before any later reading of the clock."""
     for faults, pause, least_stops in (("connect=STOP/100@2-30", 0.8, 6), ("read_done=STOP/1500@2-30", 0.8, 3),
                                        ("clock_read=STOP/40@2-30", 0.3, 3 * READINGS)):
-        boxes = Boxes(once=True)  # so that each request waits for a connection
+        boxes = Boxes(once=True)  # so that each request has to wait for a new connection
         proxy = Proxy(program, library, boxes.at, faults)
         resumer = Resumer(proxy.process, pause)
         try:
@@ -378,7 +378,7 @@
 
 
 class Leaver(threading.Thread):
-    """Asks on a new connection each time, and closes it soon; `left` has when."""
+    """Sends each request on a new connection and closes it early; `left` holds the closing times."""
 
     def __init__(self, port, place):
         super().__init__(daemon=True)
@@ -401,8 +401,8 @@
 
 
 def left_behind_pause(program, library):
-    """No attempt begins for a client that left while the process stood still, at whichever reading of the clock behind a read
-    it was stopped."""
+    """No attempt starts for a client that disconnected while the process was stopped, whichever clock reading after a read it
+    was stopped at."""
     boxes = Boxes()
     proxy = Proxy(program, library, boxes.at, "clock_read=STOP/300@2-60")
     resumer = Resumer(proxy.process, 0.3)
@@ -431,7 +431,7 @@
 
 
 def forgetful_box(listener, forgotten):
-    """A pop cache that answers at once, and forgets a connection that rested: what comes there then is never answered."""
+    """A pop cache that answers at once but silently drops idle connections: later requests on them are never answered."""
     def serve(conn):
         heard = time.monotonic()
         with conn, conn.makefile("rb") as lines:
@@ -442,7 +442,7 @@
                 lines.read(int(words[3]) + 2)
                 rested, heard = time.monotonic() - heard, time.monotonic()
                 if rested > FORGET_AFTER_S:
-                    heard = float("-inf")  # from now on for good
+                    heard = float("-inf")  # permanently from now on
                     forgotten.append(words[1])
                 else:
                     conn.sendall(f"{words[1]} DONE digest=e1,dated=1764576000123,tell=pulled 2\r\nok\r\n".encode())
@@ -452,8 +452,8 @@
 
 
 def idle_connections_forgotten(program, library):
-    """After a quiet time all connections to pop caches are dead without a word: reads are served all the same, and what
-    must not run twice has its answer in time."""
+    """After an idle period all pop cache connections are dead without a FIN or RST: reads are still served, and
+    non-idempotent requests get a response in time."""
     listener = listening()
     forgotten = []
     threading.Thread(target=forgetful_box, args=(listener, forgotten), daemon=True).start()
