--- a/tests/faults/connection_ends_test.py
+++ b/tests/faults/connection_ends_test.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Requests that cross the end of a connection on which nothing is open, judged from their clients.
+"""Requests that race with the close of a connection without open requests, checked from the clients' view.
 
-Guards: a request that had come to the proxy ahead of its connection's end loses it without an answer. A request is lost
-where its connection ends without an answer, no end was there right behind the write, and the proxy's system had
-acknowledged its bytes (SIOCOUTQ is 0). What was never acknowledged crossed the end, and its client sends it again.
+Guards against a request that reached the proxy before its connection was closed and never gets a response. A request counts
+as lost if its connection ends without a response, no FIN had arrived right after the write, and the proxy's kernel had
+acknowledged its bytes (SIOCOUTQ is 0). A request that was never acknowledged crossed the close, and its client retries it.
 Usage: connection_ends_test.py SUMACKEEL LIBRARY STORY [ROUNDS [CONNECTIONS [LOG_LEVEL]]]
 """
 import fcntl
@@ -21,31 +21,31 @@
 from rig import BOUND_S, Boxes, Failure, Proxy, want
 from wire import dispatch, end_is_here, exactly, has_come, listening, ops_call, reply
 
-SOCKETS = 8192          # of the proxy; a third are for clients
+SOCKETS = 8192          # socket limit of the proxy; a third is for clients
 SIGNED_CONNECTIONS = 1200
-RESTING = 300           # connections, each with one answer behind it
-SILENT = 200            # connections that have sent nothing
-PATIENCE_S = 2.0        # of the proxy, with connections on which no request came
-STEP_S = 0.0004         # between the first requests of two silent connections
+RESTING = 300           # idle connections that have each had one response
+SILENT = 200            # connections without any request
+PATIENCE_S = 2.0        # timeout of the proxy for connections without a request
+STEP_S = 0.0004         # between the first requests of two such connections
 SIGTERM_TO_EXIT_S = 3.7
-QUEUED = 100            # connections in the queue of the listening socket
-HELD_APART_S = 0.2      # the look for unread bytes and the half-close
+QUEUED = 100            # connections in the listen backlog
+HELD_APART_S = 0.2      # delay between the check for unread bytes and the half-close
 IN_BETWEEN_S = 0.1
-# Where the process stands still in the step of look and half-close, and for how long: the client's system sends again
-# after 0.2 s.
+# Where and for how long the process is paused between the check for unread bytes and the half-close; the client's kernel
+# retransmits after 0.2 s.
 PREEMPTED_AT = {"preempted": "receive_block", "preempted_behind_look": "dropped_look"}
 PREEMPTED_S = 0.08
-HELD_BEHIND_ANSWER_S = 0.1  # the system holds the last bytes of an answer back for 0.2 s at most
+HELD_BEHIND_ANSWER_S = 0.1  # the kernel delays the last bytes of a response by at most 0.2 s
 ANSWERED_AFTER_S = 0.5
-LARGE_ANSWER = b"x" * 200_000  # most of it waits at the proxy where the client has a small window
+LARGE_ANSWER = b"x" * 200_000  # mostly buffered at the proxy if the client has a small window
 SMALL_WINDOW = 4096            # bytes
 LARGE_ANSWERED_AFTER_S = 0.25
 
 
 class PlatformFront:
-    """Requests to the platform's front, which listens on the inherited socket."""
+    """Requests to the platform listener, which uses the inherited socket."""
     operator = folder = None
-    pause_s = 0  # behind each request, so that an operators' call comes between them
+    pause_s = 0  # after each request, so that an admin API call falls between them
 
     def __init__(self, port):
         self.port, self.numbers = port, iter(range(0x5b0000000000, 1 << 48))
@@ -55,13 +55,13 @@
         conn.sendall(dispatch(sequence, b"%016x" % number, b"%016x" % (number % 50)))
 
     def answer(self, conn):
-        """Whether further requests may follow; raises where the connection ends ahead of the answer."""
+        """Reads a response; returns whether further requests may follow. Raises if the connection ends before the response."""
         reply(conn)
         return True
 
 
 class SignedFront:
-    """Requests to the front with signed URLs."""
+    """Requests to the listener for signed URLs."""
     pause_s = 5e-5
 
     def __init__(self, program):
@@ -83,11 +83,11 @@
             head += exactly(conn, 1)
         head = head.lower()
         exactly(conn, int(head.split(b"content-length: ", 1)[1].split(b"\r\n", 1)[0]))
-        return b"connection: close" not in head  # what is sent behind such an answer is not processed (RFC 9112, 9.6)
+        return b"connection: close" not in head  # requests after such a response aren't processed (RFC 9112, 9.6)
 
 
 class Request:
-    """A request written to a connection of its own, and whether that connection's end was there right behind it."""
+    """A request on its own connection, and whether that connection's FIN had arrived right after the write."""
 
     def __init__(self, front, conn, sequence):
         self.front, self.conn, self.acknowledged, self.was_last = front, conn, None, False
@@ -101,7 +101,7 @@
         return not self.was_last and has_come(self.conn, select.POLLIN) and not end_is_here(self.conn)
 
     def finish(self):
-        """Waits for the answer or the end: "answered", "crossed" (nothing was acknowledged, or the end was here) or "lost"."""
+        """Waits for the response or the close: "answered", "crossed" (not acknowledged, or the FIN had arrived) or "lost"."""
         if self.end_was_here:
             return "end was here"
         try:
@@ -113,13 +113,13 @@
             return "lost" if self.acknowledged else "crossed"
 
     def note_end(self):
-        """Once the end is here: what was in the proxy's buffer before has been acknowledged with it."""
+        """Called when the FIN has arrived: it also acknowledges what was in the proxy's receive buffer before it."""
         if self.acknowledged is None:
             self.acknowledged = unacknowledged(self.conn) == 0
 
 
 class EndWatch(threading.Thread):
-    """Notes of each request, as soon as its connection's end is here, whether its bytes had been acknowledged."""
+    """Records for each request, as soon as its connection's FIN arrives, whether its bytes had been acknowledged."""
 
     def __init__(self):
         super().__init__(daemon=True)
@@ -147,12 +147,12 @@
 
 
 def unacknowledged(conn):
-    """Bytes written that the other side's system has not acknowledged."""
+    """Number of written bytes that the peer's kernel has not acknowledged."""
     return struct.unpack("i", fcntl.ioctl(conn, termios.TIOCOUTQ, bytes(4)))[0]
 
 
 def connect(port, window=None):
-    """`window`: bytes of the client's receive buffer, where the system does not choose."""
+    """`window`: size of the client's receive buffer in bytes; None leaves it to the kernel."""
     conn = socket.socket()
     if window:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window)
@@ -162,7 +162,7 @@
 
 
 def resting(front, count):
-    """Connections with one answer each behind them."""
+    """Idle connections that have each had one response."""
     found = []
     for _ in range(count):
         found.append(connect(front.port))
@@ -173,7 +173,7 @@
 
 
 class Scene:
-    """One process of the program on an inherited socket, and what ends its connections: SIGTERM or a drain."""
+    """One process of the program on an inherited socket, and the event that closes its connections: SIGTERM or a drain."""
 
     def __init__(self, program, library, event, signed=False, faults="", log_level="info", delay=0, content=b"ok"):
         self.program, self.library, self.event, self.faults, self.log_level = program, library, event, faults, log_level
@@ -182,7 +182,7 @@
         self.draw = random.Random(event)
 
     def begin(self):
-        """A process that serves, with no drain on."""
+        """Ensures a serving process without an active drain."""
         if self.proxy and self.event == "drain":
             want(self.proxy.call("/ops/drain/stop")[0] == 200, "the drain was not stopped")
         elif self.proxy:
@@ -197,7 +197,7 @@
             time.sleep(0.02)
 
     def wait_until_accepted(self, count):
-        """What waits in the queue of an inherited socket at SIGTERM is left to the next process."""
+        """Waits for the accepts, since connections in the backlog of an inherited socket at SIGTERM are left to the next process."""
         end = time.monotonic() + BOUND_S
         while f"gw_connections {count}\n" not in (said := self.proxy.call("/ops/stats", "GET")[1]):
             want(time.monotonic() < end, f"{count} connections are not accepted: {said!r}")
@@ -236,7 +236,7 @@
 
 
 def play(scene, rounds, one_round):
-    """The rounds' requests, counted by what came of them; none may be lost."""
+    """Runs the rounds and counts their requests by outcome; none may be lost."""
     counts = {}
     try:
         for _ in range(rounds):
@@ -253,7 +253,7 @@
 
 
 def write_to_resting(count):
-    """One request on each of `count` resting connections, one after the other, and the event at one that chance draws."""
+    """Writes one request on each of `count` idle connections in sequence, with the event at a randomly chosen one."""
     def one_round(scene):
         conns, watch = resting(scene.front, count), EndWatch()
         fired_at, firing, requests = scene.draw.randrange(count // 4), None, []
@@ -270,7 +270,7 @@
 
 
 def ask_again_until_end(front, watch, requests):
-    """Where the event takes effect late, connections that have their answer are asked again meanwhile."""
+    """If the event takes effect late, sends further requests on connections that have had their response."""
     found, sequence, last_pass, end = [], 2, False, time.monotonic() + BOUND_S
     while not last_pass:
         want(time.monotonic() < end, "no connection ended while requests were written")
@@ -287,7 +287,7 @@
 
 
 def write_first_requests(count):
-    """The first request on each of `count` silent connections, around the end of the proxy's patience with them."""
+    """Writes the first request on each of `count` unused connections around the time the proxy's idle timeout expires."""
     def one_round(scene):
         conns, watch = [connect(scene.front.port) for _ in range(count)], EndWatch()
         connected = time.monotonic()
@@ -296,7 +296,7 @@
         start = connected + PATIENCE_S - 0.09 + scene.draw.uniform(0, 0.06)
         time.sleep(max(0.0, start - time.monotonic()))
         requests = []
-        for conn in reversed(conns):  # the proxy ends the oldest first
+        for conn in reversed(conns):  # the proxy closes the oldest first
             requests.append(Request(scene.front, conn, 1))
             watch.add(requests[-1])
             time.sleep(STEP_S)
@@ -315,8 +315,8 @@
 
 
 def held_apart(scene, in_between_s=IN_BETWEEN_S):
-    """The half-close comes some time behind its call, or behind the start of the step that it ends: a request written in
-    between is not acknowledged."""
+    """The half-close takes effect some time after its call, or after the start of the step that it ends: a request written
+    in between is not acknowledged."""
     conn, watch = resting(scene.front, 1)[0], EndWatch()
     firing = scene.fire_meanwhile()
     time.sleep(in_between_s)
@@ -326,7 +326,7 @@
 
 
 def behind_answer(scene):
-    """A request is open when the event comes; as soon as its answer is here the next one is written."""
+    """A request is open when the event occurs; the next one is written as soon as its response arrives."""
     conn, watch = connect(scene.front.port), EndWatch()
     scene.front.ask(conn, 1)
     time.sleep(IN_BETWEEN_S)
@@ -338,8 +338,8 @@
 
 
 def behind_unread_answer(scene):
-    """Two requests are open when the event comes. The client has read one answer, and of the other, which is the last on its
-    connection, only as much as its window takes; then it writes its next request, and reads on."""
+    """Two requests are open when the event occurs. The client has read one response, and of the other, the last on its
+    connection, only as much as fits its receive window; then it writes its next request and reads on."""
     conn, watch = connect(scene.front.port, SMALL_WINDOW), EndWatch()
     for sequence in (1, 2):
         scene.front.ask(conn, sequence)
@@ -347,7 +347,7 @@
     firing = scene.fire_meanwhile()
     scene.front.answer(conn)
     want(select.select([conn], [], [], BOUND_S)[0], "nothing of the second answer came")
-    time.sleep(IN_BETWEEN_S)  # its connection's end has been decided by now
+    time.sleep(IN_BETWEEN_S)  # by now the proxy has decided to close the connection
     request = Request(scene.front, conn, 3)
     watch.add(request)
     try:
@@ -359,7 +359,7 @@
 
 
 def left_in_queue(scene):
-    """At SIGTERM more connections with a request wait in the socket's queue than one turn of the loop accepts."""
+    """At SIGTERM the backlog holds more connections with a request than one event loop iteration accepts."""
     process, watch = scene.proxy.process, EndWatch()
     process.send_signal(signal.SIGSTOP)
     requests = [Request(scene.front, connect(scene.front.port), 1) for _ in range(QUEUED)]
--- a/tests/faults/soak.py
+++ b/tests/faults/soak.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""A seeded soak of one real process, judged from what its clients and its stand-ins saw.
-
-Each seed draws deadlines, how pop caches answer, library calls that fail, a step of the wall clock, a pause of the
-process, reloads in series that move the change log, a drained pop cache, and on some seeds a crowd of idle clients. Beside
-them operators call in series (/ops/drain, /ops/pop-caches, /ops/readiness; drains of any length, behind silent callers), and clients of unlike
-habits ask (operators.py). All go on using open connections until SIGKILL, which comes at its earliest: the longest
-deadline (3 s at most) and 0.7 s after the first of several SIGTERMs, at any moment of a drain. The process has to have left
-by itself before that.
+"""A seeded soak test of one real process, checked from what its clients and emulated servers saw.
+
+Each seed draws deadlines, pop cache behaviour, failing library calls, a wall clock step, a pause of the process,
+consecutive reloads that move the change log, a drained pop cache, and for some seeds many idle clients. Meanwhile operators
+make consecutive calls (/ops/drain, /ops/pop-caches, /ops/readiness; drains of any length, with silent callers ahead of
+them), and clients with different behaviour send requests (operators.py). All keep using open connections until the earliest
+SIGKILL: the longest deadline (3 s at most) plus 0.7 s after the first of several SIGTERMs, at any moment of a drain. The
+process has to exit by itself before that.
 Usage: soak.py SUMACKEEL LIBRARY FIRST LAST [AT_ONCE]
 """
 import asyncio
@@ -33,7 +33,7 @@
 
 
 class Plan:
-    """What one seed draws."""
+    """The parameters drawn from one seed."""
 
     def __init__(self, seed):
         draw = random.Random(seed)
@@ -61,7 +61,7 @@
 
 
 class Servers:
-    """Pop caches, a parent, an origin and two change logs, on a loop of their own thread."""
+    """Pop caches, a parent, an origin and two change logs, on an event loop in a separate thread."""
 
     def __init__(self, plan):
         self.plan, self.seen, self.enrols, self.doubled = plan, [], {}, []
@@ -131,7 +131,7 @@
     async def answer(self, name, request, fields, writer):
         draw, enrol = self.plan.draw, fields["cls"] == "enrol"
         how = draw.random()
-        if how < self.plan.trouble / 3:  # it never runs
+        if how < self.plan.trouble / 3:  # the request is never executed
             writer.write(f"{request} {draw.choice(['LACK', 'WAIT'])} - 0\r\n\r\n".encode())
             return
         if enrol:
@@ -156,7 +156,7 @@
 
 
 class Lag(threading.Thread):
-    """How late this program itself runs at the worst: what it sees late by so much is its own doing."""
+    """The worst scheduling delay of this test program: delays up to this size are its own, not the proxy's."""
 
     def __init__(self):
         super().__init__(daemon=True)
@@ -198,7 +198,7 @@
     def run(self):
         while self.run_.going:
             if self.conn and select.select([self.conn], [], [], 0)[0]:
-                self.close()  # ended while it rested
+                self.close()  # closed while idle
             if not self.conn and not self.connect():
                 return
             if self.conn:
@@ -246,7 +246,7 @@
             if took > timeout + LATE_S:
                 run.late.append((ident, took - timeout))
         except (OSError, ConnectionError) as why:
-            # An end that crossed a request on a resting connection is seen at once, and the request sent anew.
+            # A close that crossed a request on an idle connection is seen at once, and the request is sent again.
             if reused and isinstance(why, ConnectionError) and time.monotonic() - sent < CROSSING_S:
                 run.count("crossed by a reset" if isinstance(why, ConnectionResetError) else "crossed")
             else:
@@ -262,14 +262,14 @@
         self.counts, self.wrong, self.late, self.asked, self.left = {}, [], [], {}, {}
         self.servers, self.lag = Servers(self.plan), Lag()
         self.lag.start()
-        # A test build looks for leaks for 60 ms after the program has ended, and would be killed at it.
+        # A test build checks for leaks for 60 ms after the program has ended, and would be killed during that.
         self.proxy = Proxy(program, library, "", " ".join(self.plan.faults), seed, change=self.settings,
                            env={"ASAN_OPTIONS": "detect_leaks=0:verify_asan_link_order=0"})
         self.habits = Habits(self.proxy.port, random.Random(seed + 1), self.plan.deadline)
         self.operators = Operators(self, self.habits, random.Random(seed + 2))
 
     def still(self):
-        """For how long the process is stopped, or takes no connection."""
+        """How long the process is stopped or accepts no connections."""
         closed = any(rule.endswith(f"@2-{2 + ACCEPT_STILL_S}") for rule in self.plan.faults)
         return self.plan.pause + ACCEPT_STILL_S * closed
 
--- a/tests/faults/upgrade_soak.py
+++ b/tests/faults/upgrade_soak.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""A seeded soak of upgrades in series on one inherited socket, judged from what clients saw.
+"""A seeded soak test of consecutive upgrades on one inherited socket, checked from the clients' view.
 
-Guards: a request that was taken loses its connection without an answer while one process replaces another. Each seed
-draws how long pop caches take, library calls that fail, deadlines, how many clients there are, whether an idle crowd holds
-connections, how often SIGTERM is sent, and pauses of the old process. Clients use open connections until the old process is
-killed, at its earliest; operators call both processes meanwhile, and the call answered last is in force at the end.
+Guards against an accepted request that loses its connection without a response while one process replaces another. Each
+seed draws the pop caches' delays, failing library calls, deadlines, the number of clients, whether many idle clients hold
+connections, how often SIGTERM is sent, and pauses of the old process. Clients use open connections until the earliest time
+at which the old process may be killed; admin API calls go to both processes, and the one answered last is in force at the end.
 Usage: upgrade_soak.py SUMACKEEL LIBRARY FIRST LAST [AT_ONCE]
 """
 import concurrent.futures
@@ -19,9 +19,9 @@
 from rig import BOUND_S, SERVED, Boxes, Failure, Proxy, want
 from wire import dispatch, end_is_here, listening, ops_call, reply
 
-KILLED_AFTER_S = 3.7  # behind the first SIGTERM, at the earliest
+KILLED_AFTER_S = 3.7  # earliest SIGKILL after the first SIGTERM
 PAUSE_S = 0.02        # after a refusal
-LATE_S = 0.5          # behind a request's time, for its answer to have come
+LATE_S = 0.5          # grace after a request's deadline for its response to arrive
 IN_FORCE_WITHIN_S = 1.0
 UPGRADES = 3
 POP_CACHES = ("s-a", "s-b")
@@ -29,7 +29,7 @@
 
 
 class Plan:
-    """What one seed draws."""
+    """The parameters drawn from one seed."""
 
     def __init__(self, seed):
         self.draw = draw = random.Random(seed)
@@ -48,7 +48,7 @@
 
 
 class Client(threading.Thread):
-    """Asks without pause on a connection that it keeps, or on one of its own for each request."""
+    """Sends requests without pause, on one persistent connection or on a new one for each request."""
 
     def __init__(self, run, number):
         super().__init__(daemon=True)
@@ -63,8 +63,8 @@
                 self.close()
 
     def end_is_here(self):
-        """The other side has ended the connection, though answers may still be unread. On loopback an end is here in the
-        moment in which it is sent: where it is not, all that was sent before had come to the other side ahead of it."""
+        """Whether the peer has closed the connection, even if responses are still unread. On loopback a FIN arrives the moment
+        it is sent: if it hasn't arrived, everything sent before reached the peer ahead of the close."""
         return end_is_here(self.conn)
 
     def close(self):
@@ -103,7 +103,7 @@
 
 
 class Overlapping(Client):
-    """Keeps several requests open on one connection, as a front does."""
+    """Keeps several requests open on one connection, as a load balancer does."""
 
     def __init__(self, run, number):
         super().__init__(run, number)
@@ -151,7 +151,7 @@
             self.pause_until = time.monotonic() + PAUSE_S
 
     def end(self, why):
-        """The connection is over: what was sent ahead of its end and has no answer is lost."""
+        """The connection has ended: requests sent before its close without a response are lost."""
         for sequence, (ident, sent, timeout, crossed) in self.open.items():
             if crossed:
                 self.run_.count("crossed")
@@ -174,7 +174,7 @@
             self.counts[what] = self.counts.get(what, 0) + 1
 
     def lost(self, ident, which, sent, why):
-        """A request that had come to the proxy, and has no answer; whether a pop cache saw it tells how far it got."""
+        """Reports a request that reached the proxy but got no response; whether a pop cache saw it shows how far it got."""
         reached = [at for at, request, _ in list(self.boxes.seen) if request == ident.decode()]
         self.wrong.append(f"{ident.decode()} ({which}, sent {sent - self.began:.3f} s in): no answer after "
                           f"{time.monotonic() - sent:.3f} s: {why!r}; {len(reached)} attempts")
@@ -195,7 +195,7 @@
         return proxy
 
     def call(self, proxy):
-        """An operators' call at one of the processes; counts once it is kept."""
+        """An admin API call to one of the processes; it counts once it is reported as stored."""
         ident = self.plan.draw.choice(POP_CACHES)
         verb = "up" if self.down else "down"
         ident = next(iter(self.down), ident)
