--- a/tests/faults/calls.cpp
+++ b/tests/faults/calls.cpp
@@ -1,23 +1,23 @@
-// Preloaded into a program under test: library calls that fail as Linux documents them, and a wall clock that
-// steps. The environment variable FAULTS holds rules separated by blanks:
+// Preloaded library for fault injection into a program under test: library calls fail with the errors that
+// Linux documents, and the wall clock steps. The environment variable FAULTS holds rules separated by blanks:
 //
-//     CALL=ERRNO[+ERRNO...]/N[@FROM-TO]  one call in N fails, with each error in turn; N = 1: every one
-//     CALL=WAITSECONDS/N[@FROM-TO]       done so many seconds later, as on a disk that hangs (files alone)
-//     connect=STOP/N, read_done=STOP/N   the process stops behind it (SIGSTOP) until it is told to go on
-//     clock_read=STOP/N                  behind one read in N from a socket it stops ahead of the first
-//     reading
-//                                        of CLOCK_MONOTONIC, the next time of the second, and so on in turn
-//     shutdown=WAITSECONDS/N             a half-close takes effect so many seconds behind its call
-//     receive_block=WAITSECONDS/N        the process stands still so many seconds behind the start of a
-//                                        receive block (SO_ATTACH_FILTER)
-//     dropped_look=WAITSECONDS/N         and behind a look for what the block has dropped (SO_MEMINFO)
-//     read=SHORT/N, write=SHORT/N        one call in N moves a single byte (sockets alone)
-//     read=ERRNO/N, write=ERRNO/N        fails on sockets to the port in FAULTS_PEER alone (write: files too)
-//     clock=SECONDS@AT                   CLOCK_REALTIME is read as SECONDS off from AT on
+//     CALL=ERRNO[+ERRNO...]/N[@FROM-TO]  one call in N fails, cycling through the errors; N = 1: every call
+//     CALL=WAITSECONDS/N[@FROM-TO]       delayed by SECONDS, as on a disk that hangs (files only)
+//     connect=STOP/N, read_done=STOP/N   the process stops after the call (SIGSTOP) until it is resumed
+//     clock_read=STOP/N                  after one read in N from a socket, the process stops before the
+//                                        first reading of CLOCK_MONOTONIC, the next time before the
+//                                        second, and so on in turn
+//     shutdown=WAITSECONDS/N             a half-close takes effect SECONDS after its call
+//     receive_block=WAITSECONDS/N        the process pauses for SECONDS after the start of a receive block
+//                                        (SO_ATTACH_FILTER)
+//     dropped_look=WAITSECONDS/N         the same after a query of what the block has dropped (SO_MEMINFO)
+//     read=SHORT/N, write=SHORT/N        one call in N transfers a single byte (sockets only)
+//     read=ERRNO/N, write=ERRNO/N        fails only on sockets to the port in FAULTS_PEER (write: files too)
+//     clock=SECONDS@AT                   CLOCK_REALTIME is offset by SECONDS from AT on
 //
 // FROM, TO and AT are seconds of the monotonic clock since the program started. CALL is socket, connect,
-// accept, shutdown, poll, open, write, fsync or rename; open, write, fsync and rename fail for files alone,
-// and only below the folder in FAULTS_UNDER. FAULTS_SEED makes the choices repeat.
+// accept, shutdown, poll, open, write, fsync or rename; open, write, fsync and rename fail only for files
+// below the directory in FAULTS_UNDER. FAULTS_SEED makes the choices reproducible.
 #include <dlfcn.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -38,12 +38,12 @@
 
 namespace {
 
-constexpr int kShort = -1;  // in place of an errno: the call moves one byte
-constexpr int kWait = -2;   // in place of an errno: the call is carried out later
-constexpr int kStop = -3;   // in place of an errno: the process stops behind the call
+constexpr int kShort = -1;  // instead of an errno: the call transfers one byte
+constexpr int kWait = -2;   // instead of an errno: the call is delayed
+constexpr int kStop = -3;   // instead of an errno: the process stops after the call
 constexpr char kWaitWord[] = "WAIT";
 constexpr int kMostRules = 16, kMostErrors = 8;
-constexpr int kMostReadings = 16;  // behind a read, ahead of which the process is stopped in turn
+constexpr int kMostReadings = 16;  // clock readings after a read before which the process stops in turn
 
 struct Rule {
     char call[16] = {};
@@ -87,7 +87,7 @@
 double started = 0;
 const char* under = "";
 int peer_port = 0;
-thread_local int readings_to_stop = 0;  // of the clock, until the process stops ahead of one; 0: it does not
+thread_local int readings_to_stop = 0;  // clock readings left until the process stops; 0: no stop
 thread_local int stops_at_readings = 0;
 thread_local bool receive_blocked = false;  // between SO_ATTACH_FILTER and SO_DETACH_FILTER
 
@@ -152,7 +152,7 @@
     free(copy);
 }
 
-// The error with which this call is to fail; 0: it is carried out.
+// The error to inject into this call; 0: the call is executed normally.
 int fault_of(const char* call, bool on_socket = false) {
     for (int i = 0; i < rule_count; ++i) {
         Rule& rule = rules[i];
@@ -169,9 +169,9 @@
     return 0;
 }
 
-// Danger: what is looked up before a call (the file behind a descriptor) takes far longer than the way to the
-// call in the program, which is to be stopped at any moment of its own. So nothing is, where no rule needs
-// it.
+// Danger: lookups before a call (the file of a descriptor) take far longer than the program's own path to the
+// call, and the program has to be stoppable at any point of that path. Nothing is therefore looked up unless
+// a rule needs it.
 bool has_rule(const char* call) {
     for (int i = 0; i < rule_count; ++i)
         if (!strcmp(rules[i].call, call)) return true;
@@ -196,7 +196,8 @@
            ntohs(to.sin_port) == peer_port;
 }
 
-// What a read or write of `count` bytes on a socket is to do: fewer bytes, or none and the error set.
+// Applies the rules to a socket read or write of `count` bytes: may reduce `count`, or set errno and return
+// true.
 bool breaks_off(const char* call, int fd, size_t& count) {
     if (!is_socket(fd)) return false;
     const bool to_peer = is_to_peer(fd);
--- a/tests/faults/connection_ends_test.py
+++ b/tests/faults/connection_ends_test.py
@@ -31,8 +31,8 @@
 QUEUED = 100            # connections in the listen backlog
 HELD_APART_S = 0.2      # delay between the check for unread bytes and the half-close
 IN_BETWEEN_S = 0.1
-# Where and for how long the process is paused between the check for unread bytes and the half-close; the client's kernel
-# retransmits after 0.2 s.
+# Where the process is paused during the sequence of check for unread bytes and half-close, and for how long; the client's
+# kernel retransmits after 0.2 s.
 PREEMPTED_AT = {"preempted": "receive_block", "preempted_behind_look": "dropped_look"}
 PREEMPTED_S = 0.08
 HELD_BEHIND_ANSWER_S = 0.1  # the kernel delays the last bytes of a response by at most 0.2 s
@@ -197,7 +197,7 @@
             time.sleep(0.02)
 
     def wait_until_accepted(self, count):
-        """Waits for the accepts, since connections in the backlog of an inherited socket at SIGTERM are left to the next process."""
+        """Connections in the backlog of an inherited socket at SIGTERM are left to the next process, hence the wait."""
         end = time.monotonic() + BOUND_S
         while f"gw_connections {count}\n" not in (said := self.proxy.call("/ops/stats", "GET")[1]):
             want(time.monotonic() < end, f"{count} connections are not accepted: {said!r}")
--- a/tests/faults/habits.py
+++ b/tests/faults/habits.py
@@ -1,7 +1,7 @@
-"""Clients of unlike habits before one real process, and pop caches that answer many requests at once, on one asyncio loop.
+"""Clients with different behaviour for one real process, and pop caches that answer concurrently, on one asyncio loop.
 
-A client notes of each request when it was written and what came of it, and of each connection when it ended. What a
-drain owes is judged from these notes alone (`held`, `Client.lost`).
+A client records when each request was written, its outcome, and when each connection ended. The guarantees of a drain are
+checked from these records alone (`held`, `Client.lost`).
 """
 import asyncio
 import random
@@ -11,15 +11,15 @@
 from rig import REFUSED, SERVED
 from wire import cancel, dispatch, end_is_here, listening, reply_of
 
-CROSSING_S = 0.05  # a request written so shortly before its connection's end was seen is sent again, and not lost
-COME_AFTER_NO_S = 0.2  # the front sends new connections for so long after the first no
+CROSSING_S = 0.05  # a request written within this time before its connection's close was seen is retried, not lost
+COME_AFTER_NO_S = 0.2  # new connections keep arriving for this time after the first not-ready reply
 DRIBBLE_S = 0.035
 MOST_OPEN = 32
 
 
 class PopCaches:
-    """Stand-in pop caches, parent and origin behind one address: each request is answered `delay` after it came, and not
-    at all while `hanging`. Where they are `deaf` nothing is read."""
+    """Emulated pop caches, parent and origin on one address: each request is answered `delay` after its arrival, and not at
+    all while `hanging`. If `deaf`, nothing is read."""
 
     def __init__(self, delay, body=b"ok"):
         self.delay, self.body, self.hanging, self.deaf = delay, body, False, False
@@ -62,7 +62,7 @@
 
 
 class Connection:
-    """One of a client's connections; `opened_at` and `ended_at` are moments of the monotonic clock."""
+    """One connection of a client; `opened_at` and `ended_at` are monotonic clock times."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer, self.sequence, self.open = reader, writer, 0, {}
@@ -73,13 +73,13 @@
         return self.reader.end_at
 
     def has_ended(self):
-        """Whether its end has arrived, also where this program, which may run late, has not read it."""
+        """Whether the FIN has arrived, even if this program, which may run late, hasn't read it yet."""
         sock = self.writer.get_extra_info("socket")
         return self.ended_at is not None or (sock.fileno() >= 0 and end_is_here(sock))
 
 
 class World:
-    """What all clients share: the port, when connections may be made, and what all of them noted."""
+    """State shared by all clients: the port, when connections may be opened, and the clients' records."""
 
     def __init__(self, port, kinds=(b"sheet", b"video"), timeout=3.0):
         self.port, self.kinds, self.timeout = port, kinds, timeout
@@ -118,7 +118,7 @@
 
 
 class NotingReader(asyncio.StreamReader):
-    """Notes when the end of the connection arrived, which may be before all in front of it was read."""
+    """Records when the end of the connection arrived, which may be before all data ahead of it was read."""
 
     end_at = None
 
@@ -140,7 +140,7 @@
 
 
 class Habit:
-    """A client with one connection after another, and what it noted of them."""
+    """A client that opens one connection after another, and its records of them."""
 
     def __init__(self, world, habit):
         self.world, self.habit = world, habit
@@ -159,9 +159,9 @@
 
 
 class Client(Habit):
-    """Keeps `most_open` requests open (a new one as soon as one has its answer), or sends by the clock (`every`: the seconds
-    between two, or a function that draws them). `pause`: rests so long after each answer. `cancels`: gives each
-    third request up. `reads_every`: reads one answer and then rests so long. `retry_pause`: after a refusal."""
+    """Keeps `most_open` requests open (a new one after each response), or sends at intervals (`every`: seconds between two
+    requests, or a function that draws them). `pause`: delay after each response. `cancels`: cancels every third request.
+    `reads_every`: delay after each response that is read. `retry_pause`: delay after a rejection."""
 
     def __init__(self, world, habit, most_open=None, every=None, pause=0.0, cancels=False, reads_every=0.0, retry_pause=0.0):
         super().__init__(world, habit)
@@ -171,7 +171,7 @@
         self.room = asyncio.Event()
 
     def reads_at_once(self):
-        """Whether its answers are noted as they come."""
+        """Whether responses are recorded on arrival."""
         return not (self.pause or self.retry_pause or self.reads_every)
 
     async def run(self):
@@ -235,7 +235,7 @@
             conn.how = repr(why)
 
     def part(self, conn):
-        """What the end of the connection did to the requests that were open there."""
+        """Records the effect of the connection's end on the requests open on it."""
         for request in conn.open.values():
             if request.answered or conn.ended_at is None:
                 continue
@@ -248,7 +248,7 @@
 
 
 class Odd(Habit):
-    """A connection that never has a request: `silent`, `half` a request, or a byte each 35 ms (`dribbling`)."""
+    """A connection without a complete request: `silent`, `half` a request, or one byte every 35 ms (`dribbling`)."""
 
     def reads_at_once(self):
         return True
@@ -279,7 +279,7 @@
 
 
 class SlowReader(Client):
-    """Keeps `most_open` requests open and reads 1 MB a second, through a small window: large answers wait at the proxy."""
+    """Keeps `most_open` requests open and reads 1 MB/s with a small window, so that large responses queue at the proxy."""
 
     CHUNK, WINDOW, RATE = 4096, 32768, 1_000_000
 
@@ -313,7 +313,7 @@
 
 
 class RawWriter:
-    """The part of a StreamWriter that requests need, on a plain socket."""
+    """The subset of StreamWriter needed for requests, on a plain socket."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -329,7 +329,7 @@
 
 
 def all_habits(world, delay):
-    """Clients of all habits, several of each, for pop caches that answer after `delay`."""
+    """Several clients of each behaviour, for pop caches that answer after `delay`."""
     def poisson():
         return world.draw.expovariate(3 / delay)
     clients = []
@@ -347,8 +347,8 @@
 
 
 def held(world, told_at, now):
-    """The connections that break the drain's clause at `now`, at 4 s or later: idle, or with a request written in the
-    last 2 s. Read as strictly as is fair, each has ended or holds requests from before the second second alone."""
+    """The connections that violate the drain rule at `now`, 4 s or later: idle, or with a request written in the last 2 s.
+    Checked strictly: each connection has ended or holds only requests from before the end of the second second."""
     found = []
     for client in world.clients:
         for conn in client.connections:
--- a/tests/faults/handover_crossings_test.py
+++ b/tests/faults/handover_crossings_test.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Two and more real processes of one upgrade, on one inherited socket and one $TMPDIR, called by operators at one time.
+"""Two or more real processes of one upgrade, on one inherited socket and one $TMPDIR, with concurrent admin API calls.
 
-Guards: for each pop cache and for the drain, the call that was answered last is in force in all processes within 1 s,
-and in every later one. Usage: handover_crossings_test.py SUMACKEEL LIBRARY STORY [SEED [ROUNDS]]
+Guards against a lost call: for each pop cache and for the drain, the call that was answered last is in force in all
+processes within 1 s, and in every later one. Usage: handover_crossings_test.py SUMACKEEL LIBRARY STORY [SEED [ROUNDS]]
 """
 import os
 import random
@@ -15,14 +15,14 @@
 
 IN_FORCE_WITHIN_S = 1.0
 READY_WITHIN_S = 20
-KEPT_WITHIN_S = 10  # on a disk as slow as beside builds
+KEPT_WITHIN_S = 10  # allows for a disk slowed down by parallel builds
 POP_CACHES = ("s-a", "s-b", "s-parent", "s-origin")
 SEED = int(sys.argv[4]) if len(sys.argv) > 4 else 1
 ROUNDS = int(sys.argv[5]) if len(sys.argv) > 5 else 4
 
 
 class Upgrade:
-    """Processes on one socket, started one after another, and what must be in force after the calls answered so far."""
+    """Processes started consecutively on one socket, and the state expected after the calls answered so far."""
 
     def __init__(self, program, library, operator="", folder=None):
         self.program, self.library, self.operator = program, library, operator
@@ -48,8 +48,8 @@
         return proxy
 
     def call(self, proxy, verb, ident):
-        """A call that is answered before the next one begins; repeated while its yes says that it is not kept yet, which
-        promises nothing."""
+        """Makes a call and waits for its reply; repeats it while the reply says that it isn't stored yet, which guarantees
+        nothing."""
         self.kept(proxy, f"/ops/pop-caches/{verb}/{ident}")
         (self.down.add if verb == "down" else self.down.discard)(ident)
 
@@ -92,7 +92,7 @@
         for proxy in self.all:
             if proxy.process.poll() is None:
                 proxy.process.send_signal(signal.SIGCONT)
-            if proxy.process.poll() != -signal.SIGKILL:  # the story's own
+            if proxy.process.poll() != -signal.SIGKILL:  # killed by the scenario itself
                 proxy.end(keep_folder=True)
         if self.folder:
             self.folder.cleanup()
@@ -109,7 +109,7 @@
 
 
 def paused(program, library):
-    """The old process stands still behind its calls, or ahead of them, while the new one is called."""
+    """The old process is paused after its calls, or before them, while the new one is called."""
     def story(upgrade, chance):
         old = upgrade.start()
         upgrade.call(old, "down", "s-a")
@@ -131,7 +131,7 @@
 
 
 def close_calls(program, library):
-    """Calls to both processes, 0 to 12 ms apart: of several pop caches at one moment, of one right after its answer."""
+    """Calls to both processes 0 to 12 ms apart: concurrent for several pop caches, for one right after the previous reply."""
     def story(upgrade, chance):
         old = upgrade.start()
         new = upgrade.start()
@@ -151,7 +151,7 @@
             upgrade.call(first, verbs[0], idents[3])
             time.sleep(chance.uniform(0, 0.012))
             upgrade.call(second, verbs[1], idents[3])
-            if chance.random() < 0.5:  # a call repeated binds like the first
+            if chance.random() < 0.5:  # a repeated call is as binding as the first
                 upgrade.call(first, verbs[1], idents[3])
             upgrade.in_force([old, new], "close calls")
         upgrade.later_process_agrees("the third process")
@@ -159,7 +159,7 @@
 
 
 def drain(program, library):
-    """A drain told to either process holds in both, and ends with the last call."""
+    """A drain started on either process applies to both, and ends with the last call."""
     def story(upgrade, chance):
         old = upgrade.start()
         new = upgrade.start()
@@ -177,7 +177,7 @@
 
 
 def killed_after_yes(program, library):
-    """A process killed right behind its answer leaves its call in force, whichever process has it."""
+    """A call stays in force if the process that answered it is killed right after the reply, whichever process that is."""
     def story(upgrade, chance):
         old = upgrade.start()
         new = upgrade.start()
@@ -197,7 +197,7 @@
 
 
 def chain(program, library):
-    """Five processes, each called while the next one is there, and the one before last ended."""
+    """Five processes, each called while its successor is running and the one before last has ended."""
     def story(upgrade, chance):
         before = upgrade.start()
         upgrade.call(before, "down", "s-a")
@@ -217,7 +217,7 @@
 
 
 def slow_disk(program, library):
-    """On a disk that takes 0.1 s for each sync and rename, what was told yes and kept is in force."""
+    """On a disk that takes 0.1 s for each sync and rename, calls that were reported as stored are in force."""
     def story(upgrade, chance):
         faults = "fsync=WAIT0.06/1 rename=WAIT0.04/1"
         old = upgrade.start(faults)
@@ -231,7 +231,7 @@
 
 
 def recovery_folder(program, library):
-    """What a new process read in the folder of the recovery at its start does not undo a call that the old one got since."""
+    """The state a new process read from the recovery directory at startup doesn't undo a later call to the old process."""
     talking = Talking()
     upgrade = Upgrade(program, library, talking.operator, talking.folder)
     try:
@@ -251,7 +251,7 @@
 
 
 def soak(program, library):
-    """Calls one after another at processes of a chain by chance, with pauses, kills and ends between them."""
+    """Consecutive calls to randomly chosen processes of a chain, with pauses, kills and shutdowns between them."""
     def story(upgrade, chance):
         running = [upgrade.start()]
         for _ in range(25):
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -1,5 +1,5 @@
-"""One real process before stand-in pop caches, with library calls that fail (calls.cpp, preloaded), under clients that
-count what came of each request. Shared by faults_test.py and soak.py."""
+"""Harness: one real process in front of emulated pop caches, with failing library calls (calls.cpp, preloaded), and clients
+that count the outcome of each request. Shared by faults_test.py and soak.py."""
 import json
 import os
 import signal
@@ -13,12 +13,12 @@
 sys.path.insert(0, os.path.join(os.path.dirname(os.path.abspath(__file__)), "..", "daemon"))
 from wire import BOUND_S, alive_good, cache_box, dispatch, listening, ops_call, reply, reserved_port, settings_for  # noqa: E402
 
-SERVED, REFUSED, FAILED = 0, 1, 2  # places of an answer on the wire
+SERVED, REFUSED, FAILED = 0, 1, 2  # indexes of an outcome in a wire response
 PAUSE_AFTER_REFUSAL_S = 0.1
 
 
 class Failure(Exception):
-    """What must hold does not."""
+    """A required condition doesn't hold."""
 
 
 def want(holds, text):
@@ -27,7 +27,7 @@
 
 
 def run_story(stories):
-    """The one that the third argument names, with the program and the library in front of it."""
+    """Runs the scenario named by the third argument; the first two are the program and the preloaded library."""
     try:
         stories[sys.argv[3]](sys.argv[1], sys.argv[2])
     except Failure as why:
@@ -37,7 +37,7 @@
 
 
 class Boxes:
-    """Stand-in pop caches, parent and origin behind one address; `seen` has (when, request, fields) of each attempt."""
+    """Emulated pop caches, parent and origin on one address; `seen` holds (when, request, fields) of each attempt."""
 
     def __init__(self, delay=0, once=False, content=b"ok"):
         self.listener, self.served, self.seen = listening(), [0], []
@@ -50,12 +50,12 @@
 
 
 class Proxy:
-    """A process of the program. `faults` are rules of calls.cpp, whose clock starts with the process."""
+    """A process of the program. `faults` are rules of calls.cpp; their times are relative to the process start."""
 
     def __init__(self, program, library, boxes_at, faults="", seed=1, under="", change=None, env=None, operator="",
                  folder=None, log_level="info", log_to=None, inherited=None):
-        """`under`: the folder, below the process's own, whose files the faults are for. `folder`: of a process before. `log_to`: a
-        descriptor that its log goes to in place of a file. `inherited`: the listening socket that it gets from the platform."""
+        """`under`: subdirectory of the process's directory to whose files the faults apply. `folder`: directory of an earlier
+        process. `log_to`: descriptor for the log instead of a file. `inherited`: listening socket passed by the platform."""
         self.folder = folder or tempfile.TemporaryDirectory(prefix="sumackeel-faults-")
         self.reserved = [reserved_port(), reserved_port()]
         self.ops = self.reserved[0].getsockname()[1]
@@ -111,7 +111,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def call(self, path, method="POST"):
-        """An operators' call: its status and what was said."""
+        """Makes an admin API call; returns its status and body."""
         body = []
         return ops_call(self.ops, method, path, body), "".join(body)
 
@@ -120,7 +120,7 @@
         self.process.wait()
 
     def end(self, keep_folder=False):
-        """Killed if it still runs; a process that ended by itself with another status than 0 has crashed."""
+        """Kills the process if it still runs; one that exited by itself with a status other than 0 has crashed."""
         status = self.process.poll()
         if status is None:
             self.process.kill()
@@ -137,7 +137,7 @@
 
 
 def keep_ban(proxy):
-    """Has a pop cache taken out, and waits until that is on disk: a yes that says it is not kept yet promises nothing."""
+    """Bans a pop cache and waits until that is on disk: a successful reply that says it isn't stored yet guarantees nothing."""
     status, said = proxy.call("/ops/pop-caches/down/s-a")
     want(status == 200, f"the ban was refused: {said!r}")
     end = time.monotonic() + BOUND_S
@@ -149,7 +149,7 @@
 
 
 class Talking:
-    """A folder and an operator's file for a process with [peers] and [recovery]."""
+    """A directory and an operator file for a process with [peers] and [recovery]."""
 
     def __init__(self):
         self.reserved = reserved_port()
@@ -170,16 +170,16 @@
 
 
 class Client(threading.Thread):
-    """Asks without pause, one request at a time; on a connection of its own for each where `fresh`."""
+    """Sends requests without pause, one at a time; with `fresh` each on a new connection."""
     numbers = iter(range(1, 1 << 40))
     lock = threading.Lock()
 
     def __init__(self, port, fresh, kind=b"sheet", pause=PAUSE_AFTER_REFUSAL_S, until_first=False):
         super().__init__(daemon=True)
-        self.until_first = until_first  # it asks once
+        self.until_first = until_first  # sends only one request
         self.port, self.fresh, self.kind, self.pause = port, fresh, kind, pause
         self.going, self.answers, self.lost, self.away = True, [], [], 0
-        self.asked = {}  # when each request was written
+        self.asked = {}  # time at which each request was written
 
     def next_id(self):
         with Client.lock:
@@ -223,7 +223,7 @@
 
 
 class Crowd:
-    """Clients of both kinds, and what came of their requests together."""
+    """Clients of both kinds, and the combined outcomes of their requests."""
 
     def __init__(self, port, count=8, **more):
         self.all = [Client(port, fresh=number % 2 == 0, **more) for number in range(count)]
