--- a/tests/faults/duties_test.py
+++ b/tests/faults/duties_test.py
@@ -99,7 +99,7 @@
 
 
 def disk_hangs_elsewhere(program, library):
-    """A hand-over read that hangs at startup, and a configuration read that hangs at a reload, block no caller or client."""
+    """A handover read that hangs at startup, and a configuration read that hangs at a reload, block no caller or client."""
     boxes = Boxes()
     proxy = Proxy(program, library, boxes.at, "open=WAIT1000/1@0-1000", under="sumackeel")
     try:
@@ -154,7 +154,7 @@
             leaves_in_time(second)
             after = newest_kept(program, talking)[0]
             print(f"before: {before}; after: {after}")
-            # The earlier ban was received through the hand-over.
+            # The earlier ban was received through the handover.
             want((after > before and ", 2 bans" in after) == answers, f"{before!r}, then {after!r}")
         finally:
             second.end()
--- a/tests/faults/faults_test.py
+++ b/tests/faults/faults_test.py
@@ -123,7 +123,7 @@
 
 
 def hand_over_fails(program, library):
-    """A ban set while the hand-over directory fails reaches the successor process, also if this process is killed
+    """A ban set while the handover directory fails reaches the successor process, also if this process is killed
     right after it reported the ban as stored."""
     for faults in DISK_ERRORS:
         boxes = Boxes()
@@ -145,7 +145,7 @@
 
 
 def hand_over_unreadable(program, library):
-    """A process that can't read the hand-over in its first seconds waits for it and doesn't lose a ban."""
+    """A process that can't read the handover in its first seconds waits for it and doesn't lose a ban."""
     boxes = Boxes()
     first = Proxy(program, library, boxes.at)
     first.ready()
@@ -155,7 +155,7 @@
         second = Proxy(program, library, boxes.at, f"open=ENFILE/1@0-{unreadable_for}", under="sumackeel", folder=first.folder)
         while second.call("/ops/readiness", "GET")[0] == 0:
             time.sleep(0.01)
-        status, said = second.call("/ops/pop-caches/down/s-b")  # before the hand-over is read: both bans are merged
+        status, said = second.call("/ops/pop-caches/down/s-b")  # before the handover is read: both bans are merged
         want(status == 200 and "not kept" in said, f"a ban before the hand-over was read: {status} {said!r}")
         second.ready()
         second.wait_until(unreadable_for + 0.7)
