--- a/src/cli/admin_client.h
+++ b/src/cli/admin_client.h
@@ -1,20 +1,20 @@
-// One call to a proxy's operators' address: HTTP/1.1, answered within seconds or not at all.
+// Client of a proxy's admin API: one HTTP/1.1 request with a timeout of a few seconds.
 #pragma once
 
 #include <string>
 
 namespace sumackeel::cli {
 
-struct OpsAnswer {
+struct AdminResponse {
     int status = 0;
     std::string body;
 };
 
-// Throws ConfigError where there is no such address, nobody answers in time, or the answer can't be read.
-OpsAnswer ops_call(const std::string& address, const std::string& method, const std::string& path,
-                   const std::string& body = {});
+// Throws ConfigError if the address is invalid, the connection fails, or no valid response arrives in time.
+AdminResponse call_admin_api(const std::string& address, const std::string& method, const std::string& path,
+                             const std::string& body = {});
 
-// Throws ConfigError: whoever listens there has no agreed log.
-[[noreturn]] void agreed_off(const std::string& address);
+// Throws ConfigError saying that the agreed log is disabled on the proxy at `address`.
+[[noreturn]] void throw_agreed_log_disabled(const std::string& address);
 
 }  // namespace sumackeel::cli
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -1,10 +1,10 @@
-// The command line: sub-commands, their flags and help, and completion for bash. Decides nothing.
+// The command line: subcommands, their flags and help, and bash completion.
 #pragma once
 
 namespace sumackeel::cli {
 
-// Status 0: done; 1: what was asked for does not hold or was refused; 2: wrong words or files, one line on
-// standard error.
+// Returns the exit status. 0: success; 1: the check failed or the request was refused; 2: invalid arguments
+// or files, reported in one line on standard error.
 int run(int argc, const char* const* argv);
 
 }  // namespace sumackeel::cli
--- a/src/cli/expect_command.cpp
+++ b/src/cli/expect_command.cpp
@@ -24,10 +24,11 @@
 
 namespace {
 
-// Transfers at full pace that a member's link fits; a link of a terabit a second has some 10,000.
-constexpr double kHeaviest = 1e6;
+// Upper limit of a weight, the number of full-rate transfers that fit a member's link; a link of one terabit
+// per second has about 10,000.
+constexpr double kMaxWeight = 1e6;
 
-// One event a line, as the change log tells them; its own "data:" in front is passed over.
+// Reads change log events, one per line; a leading "data:" is skipped.
 std::vector<config::WatchEvent> read_changes(const std::string& path, const config::Site& site) {
     std::vector<config::WatchEvent> changes;
     std::istringstream lines(config::read_file(path));
@@ -40,15 +41,15 @@
         const std::string where = fmt::format("{}:{}", path, number);
         try {
             changes.push_back(config::parse_watch_event(config::parse(line, where), site));
-        } catch (const config::ConfigError& wrong) {
-            bad(where, wrong.what());
+        } catch (const config::ConfigError& error) {
+            bad(where, error.what());
         }
     }
     if (changes.empty()) bad(path, "not a single event");
     return changes;
 }
 
-std::vector<config::WatchEvent> read_list(const std::string& path, const config::Site& site) {
+std::vector<config::WatchEvent> read_snapshot(const std::string& path, const config::Site& site) {
     const std::string file = endpoint_snapshot::newest_snapshot_path(path);
     std::string bytes;
     if (const auto fault = endpoint_snapshot::read_file(file, bytes)) bad(file, fault->text);
@@ -62,8 +63,8 @@
     return {change};
 }
 
-// [[box]], [[parent]] and [[origin]] with name, at (zone) and weight; `kind` where it is not the settings'
-// own.
+// Reads [[box]], [[parent]] and [[origin]] tables with name, at (zone) and weight, and `kind` where it
+// differs from the one in the settings.
 std::vector<config::WatchEvent> read_description(const std::string& path, const config::Site& site) {
     const config::Node root = config::read_toml(config::read_file(path), path);
     config::WatchEvent change;
@@ -80,16 +81,16 @@
         for (const config::Node& item : *items) {
             const auto table = std::get_if<config::Node::Table>(&item.value);
             if (!table) bad(where(item.place), "a table is wanted");
-            config::LocatedEndpoint placed;
-            placed.address = "127.0.0.1:1";  // nothing is sent
-            placed.endpoint.kind = section == "parent"   ? site.settings.parent_kind
-                                   : section == "origin" ? site.settings.origin_kind
-                                                         : -1;
+            config::LocatedEndpoint located;
+            located.address = "127.0.0.1:1";  // nothing is sent
+            located.endpoint.kind = section == "parent"   ? site.settings.parent_kind
+                                    : section == "origin" ? site.settings.origin_kind
+                                                          : -1;
             for (const auto& item : *table) {
                 const auto& key = item.first;
                 const auto& value = item.second;
                 const auto text = std::get_if<std::string>(&value.value);
-                const auto whole = std::get_if<std::int64_t>(&value.value);
+                const auto integer = std::get_if<std::int64_t>(&value.value);
                 const auto real = std::get_if<double>(&value.value);
                 const auto place = [&](const std::vector<std::string>& names, const char* what) {
                     if (!text) bad(where(value.place), key + ": a string is wanted");
@@ -99,26 +100,27 @@
                     return static_cast<int>(found - names.begin());
                 };
                 if (key == "name" && text && !text->empty()) {
-                    placed.endpoint.name = *text;
-                    const auto [before, fresh] = named.emplace(*text, value.place);
-                    if (!fresh)
+                    located.endpoint.name = *text;
+                    const auto [before, inserted] = named.emplace(*text, value.place);
+                    if (!inserted)
                         bad(where(value.place),
                             fmt::format("'{}' is named twice, first in line {}", *text, before->second.line));
                 } else if (key == "at")
-                    placed.endpoint.zone = place(site.zones, "zone");
+                    located.endpoint.zone = place(site.zones, "zone");
                 else if (key == "kind")
-                    placed.endpoint.kind = place(site.kinds, "kind");
-                else if (key == "weight" && (whole || real)) {
-                    placed.endpoint.weight = whole ? static_cast<double>(*whole) : *real;
-                    // Negated, so that what is no number at all does not pass either.
-                    if (!(placed.endpoint.weight > 0 && placed.endpoint.weight <= kHeaviest))
-                        bad(where(value.place), fmt::format("a weight is above 0 and {} at most", kHeaviest));
+                    located.endpoint.kind = place(site.kinds, "kind");
+                else if (key == "weight" && (integer || real)) {
+                    located.endpoint.weight = integer ? static_cast<double>(*integer) : *real;
+                    // Negated, so that NaN is rejected too.
+                    if (!(located.endpoint.weight > 0 && located.endpoint.weight <= kMaxWeight))
+                        bad(where(value.place),
+                            fmt::format("a weight is above 0 and {} at most", kMaxWeight));
                 } else
                     bad(where(value.key_place), "name, at, weight and kind are read, not " + key);
             }
-            if (placed.endpoint.name.empty() || placed.endpoint.zone < 0)
+            if (located.endpoint.name.empty() || located.endpoint.zone < 0)
                 bad(where(item.place), "name or at is missing");
-            change.endpoints.push_back(std::move(placed));
+            change.endpoints.push_back(std::move(located));
         }
     }
     return {change};
@@ -129,7 +131,7 @@
                        std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count());
 }
 
-std::string xml(const std::string& text) {
+std::string escape_xml(const std::string& text) {
     std::string out;
     for (const char c : text)
         out += c == '<'   ? "&lt;"
@@ -140,7 +142,7 @@
     return out;
 }
 
-std::string case_name(const std::string& name) {
+std::string counterexample_file_name(const std::string& name) {
     std::string file;
     for (const char c : name) file += std::isalnum(static_cast<unsigned char>(c)) ? c : '-';
     return file.substr(0, 80) + ".case.json";
@@ -169,13 +171,14 @@
     for (std::size_t i = 0; i < results.size(); ++i) {
         const expectations::Expectation& one = suite.expectations[i];
         const Result& result = results[i];
-        file << fmt::format("  <testcase classname=\"expect\" name=\"{}\">", xml(one.name));
+        file << fmt::format("  <testcase classname=\"expect\" name=\"{}\">", escape_xml(one.name));
         if (result.verdict.holds == Conclusion::broken)
-            file << fmt::format("<failure message=\"{}\">{}</failure>",
-                                xml(result.tally.first ? result.tally.first->what : result.verdict.text),
-                                xml(one.reason));
+            file << fmt::format(
+                "<failure message=\"{}\">{}</failure>",
+                escape_xml(result.tally.first ? result.tally.first->what : result.verdict.text),
+                escape_xml(one.reason));
         else if (result.verdict.holds != Conclusion::yes)
-            file << fmt::format("<error message=\"{}\"/>", xml(result.verdict.text));
+            file << fmt::format("<error message=\"{}\"/>", escape_xml(result.verdict.text));
         file << "</testcase>\n";
     }
     file << "</testsuite>\n";
@@ -200,20 +203,20 @@
     void step(expectations::Micros at, const std::string& words) override {
         fmt::print("{:10.3f} ms  {}\n", static_cast<double>(at) / 1e3, words);
     }
-    void on_decision(const expectations::SimulatedRequest& ask, const expectations::Decision& made,
+    void on_decision(const expectations::SimulatedRequest& request, const expectations::Decision& decision,
                      const std::vector<expectations::NotifiedStateSince>& notified) override {
         const auto before = tallies()[0].broken;
-        Evaluator::on_decision(ask, made, notified);
+        Evaluator::on_decision(request, decision, notified);
         mark(before);
     }
-    void on_request_finished(const expectations::SimulatedRequest& ask,
-                             const expectations::RequestResult& end,
+    void on_request_finished(const expectations::SimulatedRequest& request,
+                             const expectations::RequestResult& result,
                              const std::vector<expectations::NotifiedStateSince>& notified) override {
         const auto before = tallies()[0].broken;
-        Evaluator::on_request_finished(ask, end, notified);
+        Evaluator::on_request_finished(request, result, notified);
         fmt::print("{:10.3f} ms       request {}: {} after {} attempts\n",
-                   static_cast<double>(ask.at + end.elapsed) / 1e3, end.request, name_of(end.outcome),
-                   end.attempts);
+                   static_cast<double>(request.at + result.elapsed) / 1e3, result.request,
+                   name_of(result.outcome), result.attempts);
         mark(before);
     }
 
@@ -225,34 +228,34 @@
 
 }  // namespace
 
-expectations::FleetModel load_fleet(const FleetFrom& from) {
+expectations::FleetModel load_fleet(const FleetSource& from) {
     if (from.config.empty()) throw config::ConfigError("no configuration for the settings: give --config");
     if (from.list.empty() && from.changes.empty() && from.fleet.empty())
         return daemon::fleet_of_config(from.config);
     const std::string settings = daemon::settings_of_config(from.config);
     const config::Site site = config::parse_site(settings);
-    if (!from.list.empty()) return expectations::make_fleet(settings, read_list(from.list, site));
+    if (!from.list.empty()) return expectations::make_fleet(settings, read_snapshot(from.list, site));
     if (!from.changes.empty()) return expectations::make_fleet(settings, read_changes(from.changes, site));
     return expectations::make_fleet(settings, read_description(from.fleet, site));
 }
 
 // NOLINTNEXTLINE(readability-function-size): not split yet
 int expect_run(const ExpectFlags& flags) {
-    const expectations::FleetModel fleet = load_fleet(flags.from);
+    const expectations::FleetModel fleet = load_fleet(flags.source);
     const expectations::Suite suite = daemon::load_suite(flags.file, fleet);
     const auto start = std::chrono::steady_clock::now();
     const bool show_progress = !flags.quiet && isatty(2);
-    auto shown = start;
+    auto last_shown = start;
     const daemon::SuiteRun run =
         daemon::run_suite(fleet, suite, flags.threads, [&](std::size_t ready, std::size_t of) {
             const auto now = std::chrono::steady_clock::now();
-            if (show_progress && now - shown > std::chrono::milliseconds(500)) {
-                shown = now;
+            if (show_progress && now - last_shown > std::chrono::milliseconds(500)) {
+                last_shown = now;
                 fmt::print(stderr, "\r{} of {} worlds", ready, of);
             }
             return true;
         });
-    if (show_progress && shown != start) fmt::print(stderr, "\r{:40}\r", "");
+    if (show_progress && last_shown != start) fmt::print(stderr, "\r{:40}\r", "");
     std::vector<Result> results;
     for (std::size_t i = 0; i < suite.expectations.size(); ++i) {
         Result result{
@@ -262,7 +265,8 @@
             if (result.example && !flags.cases.empty()) {
                 std::error_code ignored;
                 std::filesystem::create_directories(flags.cases, ignored);
-                result.example_file = flags.cases + '/' + case_name(suite.expectations[i].name);
+                result.example_file =
+                    flags.cases + '/' + counterexample_file_name(suite.expectations[i].name);
                 std::ofstream file(result.example_file);
                 file << expectations::write_case(fleet, suite.expectations[i], *result.example);
                 file.flush();
@@ -302,12 +306,14 @@
         fmt::print("{}\n", Json::writeString(builder, root));
         return status_of(results);
     }
-    std::size_t wide = 4;
-    for (const expectations::Expectation& one : suite.expectations) wide = std::max(wide, one.name.size());
+    std::size_t name_width = 4;
+    for (const expectations::Expectation& one : suite.expectations)
+        name_width = std::max(name_width, one.name.size());
     for (std::size_t i = 0; i < results.size(); ++i) {
         const expectations::Expectation& one = suite.expectations[i];
         const Result& result = results[i];
-        fmt::print("{:13}  {:{}}  {}\n", name_of(result.verdict.holds), one.name, wide, result.verdict.text);
+        fmt::print("{:13}  {:{}}  {}\n", name_of(result.verdict.holds), one.name, name_width,
+                   result.verdict.text);
         if (result.verdict.holds != Conclusion::broken) continue;
         fmt::print("{:15}because: {}\n", "", one.reason);
         if (!result.tally.first) continue;
@@ -324,7 +330,7 @@
 }
 
 int expect_list(const ExpectFlags& flags) {
-    const expectations::FleetModel fleet = load_fleet(flags.from);
+    const expectations::FleetModel fleet = load_fleet(flags.source);
     const expectations::Suite suite = daemon::load_suite(flags.file, fleet);
     for (const expectations::Expectation& one : suite.expectations)
         fmt::print("{}\n    {}\n    because: {}\n", one.name, one.text(), one.reason);
@@ -335,7 +341,7 @@
 }
 
 int expect_explain(const ExpectFlags& flags) {
-    const expectations::FleetModel fleet = load_fleet(flags.from);
+    const expectations::FleetModel fleet = load_fleet(flags.source);
     const expectations::Suite suite = daemon::load_suite(flags.file, fleet);
     for (const expectations::Expectation& one : suite.expectations) {
         if (one.name != flags.name) continue;
@@ -373,7 +379,7 @@
 }
 
 int expect_diff(const ExpectFlags& flags) {
-    const expectations::FleetModel before = load_fleet(flags.from), after = load_fleet(flags.with);
+    const expectations::FleetModel before = load_fleet(flags.source), after = load_fleet(flags.new_source);
     expectations::Traffic traffic;
     if (!flags.file.empty()) traffic = daemon::load_suite(flags.file, before).traffic;
     if (traffic.mix.empty()) {
@@ -407,7 +413,7 @@
         fmt::print("{}\n", Json::writeString(builder, root));
         return any ? 1 : 0;
     }
-    const auto shown = [](const expectations::Bounds& b) {
+    const auto format_bounds = [](const expectations::Bounds& b) {
         return fmt::format("{:5.1f}% ({:.1f} to {:.1f})", 100 * b.share, 100 * b.lower, 100 * b.upper);
     };
     fmt::print("{:12}  {:10}  {:>8}  {:24}  {:24}  copies lost\n", "school", "class", "requests",
@@ -415,10 +421,10 @@
     for (const expectations::RoutingShift& moved : difference.moved) {
         any = any || moved.to_other_endpoint || moved.from_other_source;
         fmt::print("{:12}  {:10}  {:>8}  {:24}  {:24}  {}\n", moved.zone, moved.service, moved.requests,
-                   shown(moved.endpoint), shown(moved.source),
-                   moved.objects
-                       ? fmt::format("{} of {}, {}", moved.homes_moved, moved.objects, shown(moved.copies))
-                       : "-");
+                   format_bounds(moved.endpoint), format_bounds(moved.source),
+                   moved.objects ? fmt::format("{} of {}, {}", moved.homes_moved, moved.objects,
+                                               format_bounds(moved.copies))
+                                 : "-");
     }
     for (const std::string& name : difference.only_old) fmt::print("- {}\n", name);
     for (const std::string& name : difference.only_new) fmt::print("+ {}\n", name);
--- a/src/cli/expect_command.h
+++ b/src/cli/expect_command.h
@@ -1,5 +1,4 @@
-// `sumackeel expect`: routing expectations checked without traffic. Reads files, runs worlds on all cores,
-// prints.
+// `sumackeel expect`: checks routing expectations by simulation, without traffic, on all cores by default.
 #pragma once
 
 #include <string>
@@ -9,22 +8,22 @@
 
 namespace sumackeel::cli {
 
-// Where a fleet comes from: the platform's configuration gives the settings and, unless another is named, the
-// list.
-struct FleetFrom {
+// Source of a fleet: the platform's configuration gives the settings and, unless another source is named, the
+// endpoint list.
+struct FleetSource {
     std::string config;
-    std::string list;     // a saved list, or its folder
-    std::string changes;  // the change log's events, one JSON object a line
+    std::string list;     // a saved list or its directory
+    std::string changes;  // change log events, one JSON object per line
     std::string fleet;    // a description in TOML
 };
 
 struct ExpectFlags {
-    std::string file;      // of expectations; replay: of a counterexample
-    FleetFrom from, with;  // with: diff's new fleet
-    std::string name;      // explain: of an expectation
-    std::string junit;     // run: a report for CI is written here
-    std::string cases;     // run: counterexamples are written into this folder
-    int threads = 0;       // 0: as many as there are cores
+    std::string file;                // the expectations; replay: a counterexample
+    FleetSource source, new_source;  // new_source: the new fleet of diff
+    std::string name;                // explain: the expectation's name
+    std::string junit;               // run: path of the JUnit report for CI
+    std::string cases;               // run: output directory of counterexamples
+    int threads = 0;                 // 0: one per core
     bool json = false;
     bool quiet = false;  // no progress
 };
@@ -36,6 +35,6 @@
 int expect_replay(const ExpectFlags& flags);
 int expect_diff(const ExpectFlags& flags);
 
-expectations::FleetModel load_fleet(const FleetFrom& from);
+expectations::FleetModel load_fleet(const FleetSource& from);
 
 }  // namespace sumackeel::cli
--- a/src/cli/group_command.cpp
+++ b/src/cli/group_command.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::string names_of(const Json::Value& list) {
+std::string join_names(const Json::Value& list) {
     std::string text;
     for (const Json::Value& name : list) text += (text.empty() ? "" : ",") + name.asString();
     return text.empty() ? "-" : text;
@@ -35,26 +35,27 @@
                    one["state"].asString(), one["since_s"].asDouble(),
                    one.isMember("heard_s") ? fmt::format("{:.1f}", one["heard_s"].asDouble()) : "never",
                    one["direct"].asBool() ? "directly" : "not", one["zone"].asString(),
-                   one["version"].asString(), names_of(one["doubted_by"]));
+                   one["version"].asString(), join_names(one["doubted_by"]));
 }
 
 }  // namespace
 
-bool group_command(const std::string& address, const std::vector<std::string>& words, bool json) {
-    const std::string word = words.empty() ? "show" : words.front();
-    if (words.size() > 1 || (word != "show" && word != "watch" && word != "leave"))
+bool group_command(const std::string& address, const std::vector<std::string>& arguments, bool json) {
+    const std::string subcommand = arguments.empty() ? "show" : arguments.front();
+    if (arguments.size() > 1 || (subcommand != "show" && subcommand != "watch" && subcommand != "leave"))
         throw config::ConfigError("group takes show, watch or leave");
-    const bool leave = word == "leave";
+    const bool leave = subcommand == "leave";
     for (;;) {
-        const OpsAnswer answer =
-            ops_call(address, leave ? "POST" : "GET", leave ? "/ops/group/leave" : "/ops/group");
-        if (answer.status == 404) throw config::ConfigError(address + " has no peers: [peers] is off there");
-        if (leave || json || answer.status != 200)
-            fmt::print("{}", answer.body);
+        const AdminResponse response =
+            call_admin_api(address, leave ? "POST" : "GET", leave ? "/ops/group/leave" : "/ops/group");
+        if (response.status == 404)
+            throw config::ConfigError(address + " has no peers: [peers] is off there");
+        if (leave || json || response.status != 200)
+            fmt::print("{}", response.body);
         else
-            print(config::parse(answer.body, address));
+            print(config::parse(response.body, address));
         std::fflush(stdout);
-        if (word != "watch") return answer.status == 200;
+        if (subcommand != "watch") return response.status == 200;
         std::this_thread::sleep_for(std::chrono::seconds(1));
     }
 }
--- a/src/cli/group_command.h
+++ b/src/cli/group_command.h
@@ -1,4 +1,4 @@
-// `sumackeel group`: what one proxy knows of the others, asked at its operators' address.
+// `sumackeel group`: one proxy's view of its group, read from its admin API.
 #pragma once
 
 #include <string>
@@ -6,8 +6,8 @@
 
 namespace sumackeel::cli {
 
-// Words: show, watch (anew each second until ended) or leave. False: the proxy said no. Throws ConfigError
-// where it can't be asked.
-bool group_command(const std::string& address, const std::vector<std::string>& words, bool json);
+// Arguments: show, watch (repeats every second until interrupted) or leave. Returns false if the proxy
+// refuses. Throws ConfigError if the call fails.
+bool group_command(const std::string& address, const std::vector<std::string>& arguments, bool json);
 
 }  // namespace sumackeel::cli
--- a/src/cli/list_command.cpp
+++ b/src/cli/list_command.cpp
@@ -25,15 +25,15 @@
 
 namespace {
 
-struct Opened {
+struct OpenedSnapshot {
     std::string file;
     NameTables names;
     DecodedSnapshot read;
     std::size_t bytes = 0;
 };
 
-Opened open(const std::string& path) {
-    Opened opened;
+OpenedSnapshot open(const std::string& path) {
+    OpenedSnapshot opened;
     opened.file = endpoint_snapshot::newest_snapshot_path(path);
     std::string bytes;
     if (auto fault = endpoint_snapshot::read_file(opened.file, bytes)) {
@@ -53,7 +53,7 @@
     return place >= 0 && place < static_cast<int>(names.size()) ? names[place] : "-";
 }
 
-std::string span(Micros time) {
+std::string format_duration(Micros time) {
     if (time < 0) return "never";
     const double s = static_cast<double>(time) / kSecond;
     if (s < 120) return fmt::format("{:.1f} s", s);
@@ -61,15 +61,15 @@
     return s < 172'800 ? fmt::format("{:.1f} h", s / 3600) : fmt::format("{:.1f} d", s / 86'400);
 }
 
-// What a proxy would make of the list were it `age` old at its start.
-class Judge {
+// Computes which endpoints a proxy would use if it started with this list at a given age.
+class StalenessPreview {
   public:
-    Judge(const ListFlags& flags, const Opened& opened) : list_(opened.read.snapshot) {
+    StalenessPreview(const ListFlags& flags, const OpenedSnapshot& opened) : list_(opened.read.snapshot) {
         if (flags.settings)
             options_.staleness = {.full_until = flags.settings->full_until,
                                   .unverified_until = flags.settings->unverified_until,
                                   .answered_within = flags.settings->answered_within};
-        // Without the platform's settings the origin is known by its name alone.
+        // Without the platform's settings the origin is recognised by its kind's name only.
         const std::string origin = flags.site && flags.site->settings.origin_kind >= 0
                                        ? name_at(flags.site->kinds, flags.site->settings.origin_kind)
                                        : "origin";
@@ -78,8 +78,8 @@
         options_.origin_kind = found == kinds.end() ? -1 : static_cast<int>(found - kinds.begin());
     }
 
-    // As though it had been sure until just then.
-    endpoints::EndpointView at_age(Micros age) const {
+    // Treats the list as confirmed up to the time it was taken.
+    endpoints::EndpointView view_at_age(Micros age) const {
         Snapshot list = list_;
         const Micros before = std::max<Micros>(0, list.confirmed_age);
         for (endpoints::KnownEndpoint& member : list.endpoints)
@@ -91,7 +91,7 @@
         return view;
     }
     Micros at(Micros age) const { return list_.taken_at.micros + age; }
-    const StalenessPolicy& bands() const { return options_.staleness; }
+    const StalenessPolicy& staleness() const { return options_.staleness; }
 
   private:
     const Snapshot& list_;
@@ -104,26 +104,27 @@
     double weight;
 };
 
-std::vector<Row> rows_of(const Opened& opened, const Judge& judge, Micros age) {
-    const endpoints::EndpointView view = judge.at_age(age);
-    const Micros now = judge.at(age);
+std::vector<Row> make_rows(const OpenedSnapshot& opened, const StalenessPreview& preview, Micros age) {
+    const endpoints::EndpointView view = preview.view_at_age(age);
+    const Micros now = preview.at(age);
     std::vector<Row> rows;
     for (const endpoints::KnownEndpoint& member : opened.read.snapshot.endpoints) {
         const auto& entry = member.record->located.endpoint;
         rows.push_back({entry.name, member.record->located.address, name_at(opened.names.zones, entry.zone),
                         name_at(opened.names.kinds, entry.kind), name_of(entry.state),
-                        endpoints::name_of(view.trust_of(entry.name, now)), span(member.last_response_at),
-                        member.record->sequence, entry.weight});
+                        endpoints::name_of(view.trust_of(entry.name, now)),
+                        format_duration(member.last_response_at), member.record->sequence, entry.weight});
     }
     return rows;
 }
 
-// The ages at which something changes, and what is used from each on.
-std::vector<std::pair<Micros, std::array<std::size_t, 3>>> by_age(const Judge& judge) {
+// The ages at which trust changes, with the endpoint counts per trust level from each age on.
+std::vector<std::pair<Micros, std::array<std::size_t, 3>>> counts_by_age(const StalenessPreview& preview) {
     std::vector<std::pair<Micros, std::array<std::size_t, 3>>> all;
-    for (const Micros age : {Micros{0}, judge.bands().full_until, judge.bands().unverified_until}) {
-        const endpoints::EndpointView view = judge.at_age(age);
-        const Micros now = judge.at(age);
+    for (const Micros age :
+         {Micros{0}, preview.staleness().full_until, preview.staleness().unverified_until}) {
+        const endpoints::EndpointView view = preview.view_at_age(age);
+        const Micros now = preview.at(age);
         all.push_back({age,
                        {view.count(Trust::full, now), view.count(Trust::unverified, now),
                         view.count(Trust::none, now)}});
@@ -131,7 +132,7 @@
     return all;
 }
 
-int report_read_error(const Opened& opened) {
+int print_read_error(const OpenedSnapshot& opened) {
     fmt::print(stderr, "sumackeel: {}: {}: {}\n", opened.file, endpoints::name_of(opened.read.error->code),
                opened.read.error->text);
     return 1;
@@ -139,12 +140,12 @@
 
 // NOLINTNEXTLINE(readability-function-size): not split yet
 int show(const ListFlags& flags, const std::string& path) {
-    const Opened opened = open(path);
-    if (opened.read.error) return report_read_error(opened);
+    const OpenedSnapshot opened = open(path);
+    if (opened.read.error) return print_read_error(opened);
     const Snapshot& list = opened.read.snapshot;
-    const Judge judge(flags, opened);
+    const StalenessPreview preview(flags, opened);
     const Micros age = endpoints::age_of(list, base::Clock().unix_now());
-    const auto rows = rows_of(opened, judge, std::max<Micros>(0, age));
+    const auto rows = make_rows(opened, preview, std::max<Micros>(0, age));
     if (flags.json) {
         Json::Value root;
         root["file"] = opened.file;
@@ -173,7 +174,7 @@
             root["purges"].append(one);
         }
         root["by_age"] = Json::arrayValue;
-        for (const auto& [from, counts] : by_age(judge)) {
+        for (const auto& [from, counts] : counts_by_age(preview)) {
             Json::Value one;
             one["from_us"] = Json::Int64{from};
             one["full"] = Json::UInt64{counts[0]}, one["careful"] = Json::UInt64{counts[1]};
@@ -187,38 +188,38 @@
     fmt::print("{}: {} bytes, site {}, {} members, {} purges, change log up to {}, whole list at {}\n",
                opened.file, opened.bytes, list.site, list.endpoints.size(), list.purges.size(),
                list.last_sequence, list.full_list_sequence);
-    fmt::print("last sure {} ago\n\n", span(age));
-    std::size_t wide = 4;
-    for (const Row& row : rows) wide = std::max(wide, row.name.size());
-    fmt::print("{:{}}  {:21}  {:12}  {:10}  {:8}  {:>8}  {:>12}  use now\n", "name", wide, "address", "zone",
-               "kind", "state", "seq", "answered ago");
+    fmt::print("last sure {} ago\n\n", format_duration(age));
+    std::size_t name_width = 4;
+    for (const Row& row : rows) name_width = std::max(name_width, row.name.size());
+    fmt::print("{:{}}  {:21}  {:12}  {:10}  {:8}  {:>8}  {:>12}  use now\n", "name", name_width, "address",
+               "zone", "kind", "state", "seq", "answered ago");
     for (const Row& row : rows)
-        fmt::print("{:{}}  {:21}  {:12}  {:10}  {:8}  {:>8}  {:>12}  {}\n", row.name, wide, row.address,
+        fmt::print("{:{}}  {:21}  {:12}  {:10}  {:8}  {:>8}  {:>12}  {}\n", row.name, name_width, row.address,
                    row.zone, row.kind, row.state, row.seq, row.answered, row.use);
     fmt::print("\nused at a start, by the list's age then:\n");
-    for (const auto& [from, counts] : by_age(judge))
-        fmt::print("  from {:>9}: {} in full, {} with care, {} not\n", span(from), counts[0], counts[1],
-                   counts[2]);
+    for (const auto& [from, counts] : counts_by_age(preview))
+        fmt::print("  from {:>9}: {} in full, {} with care, {} not\n", format_duration(from), counts[0],
+                   counts[1], counts[2]);
     return 0;
 }
 
 int verify(const ListFlags& flags, const std::string& path) {
-    Opened opened = open(path);
+    OpenedSnapshot opened = open(path);
     if (!opened.read.error && flags.settings)
         opened.read.error =
             endpoints::validate(opened.read.snapshot, flags.settings->site, base::Clock().unix_now());
-    if (opened.read.error) return report_read_error(opened);
+    if (opened.read.error) return print_read_error(opened);
     fmt::print("{}: sound, {} members, last sure {} ago\n", opened.file,
                opened.read.snapshot.endpoints.size(),
-               span(endpoints::age_of(opened.read.snapshot, base::Clock().unix_now())));
+               format_duration(endpoints::age_of(opened.read.snapshot, base::Clock().unix_now())));
     return 0;
 }
 
 int diff(const std::string& before, const std::string& after) {
-    const Opened old = open(before), fresh = open(after);
-    if (old.read.error) return report_read_error(old);
-    if (fresh.read.error) return report_read_error(fresh);
-    const auto described = [](const Opened& opened) {
+    const OpenedSnapshot old = open(before), fresh = open(after);
+    if (old.read.error) return print_read_error(old);
+    if (fresh.read.error) return print_read_error(fresh);
+    const auto described = [](const OpenedSnapshot& opened) {
         std::map<std::string, std::string> all;
         for (const endpoints::KnownEndpoint& member : opened.read.snapshot.endpoints) {
             const auto& placed = member.record->located;
@@ -241,7 +242,7 @@
         if (was != one.end()) fmt::print("- {}: {}\n", name, was->second);
         if (is != other.end()) fmt::print("+ {}: {}\n", name, is->second);
     }
-    const auto purges = [](const Opened& opened) {
+    const auto purges = [](const OpenedSnapshot& opened) {
         std::set<std::string> all;
         for (const endpoints::Purge& purge : opened.read.snapshot.purges)
             all.insert(fmt::format(
@@ -256,18 +257,18 @@
         if (!old_purges.contains(purge)) fmt::print("+ {}\n", purge), differ = true;
     fmt::print("change log {} -> {}, taken {} apart\n", old.read.snapshot.last_sequence,
                fresh.read.snapshot.last_sequence,
-               span(std::abs(fresh.read.snapshot.taken_at - old.read.snapshot.taken_at)));
+               format_duration(std::abs(fresh.read.snapshot.taken_at - old.read.snapshot.taken_at)));
     return differ ? 1 : 0;
 }
 
 }  // namespace
 
 int list_command(const ListFlags& flags) {
-    const auto& words = flags.words;
-    const std::string verb = words.empty() ? "" : words[0];
-    if (verb == "show" && words.size() == 2) return show(flags, words[1]);
-    if (verb == "verify" && words.size() == 2) return verify(flags, words[1]);
-    if (verb == "diff" && words.size() == 3) return diff(words[1], words[2]);
+    const auto& arguments = flags.arguments;
+    const std::string verb = arguments.empty() ? "" : arguments[0];
+    if (verb == "show" && arguments.size() == 2) return show(flags, arguments[1]);
+    if (verb == "verify" && arguments.size() == 2) return verify(flags, arguments[1]);
+    if (verb == "diff" && arguments.size() == 3) return diff(arguments[1], arguments[2]);
     fmt::print(stderr, "sumackeel: list: show FILE, verify FILE or diff OLD NEW is wanted\n");
     return 2;
 }
--- a/src/cli/list_command.h
+++ b/src/cli/list_command.h
@@ -1,4 +1,4 @@
-// `sumackeel list`: what a saved list holds and what would be used of it, without a running proxy.
+// `sumackeel list`: inspects a saved list and shows which endpoints would be used, without a running proxy.
 #pragma once
 
 #include <optional>
@@ -11,13 +11,13 @@
 
 struct ListFlags {
     std::vector<std::string>
-        words;  // show FILE | verify FILE | diff OLD NEW; a folder stands for its newest file
+        arguments;  // show FILE | verify FILE | diff OLD NEW; a directory stands for its newest file
     bool json = false;
-    std::optional<config::EndpointSnapshot> settings;  // bands and site; the defaults where nothing is given
-    std::optional<config::Site> site;                  // tells which kind is the origin's
+    std::optional<config::EndpointSnapshot> settings;  // staleness limits and site; defaults if unset
+    std::optional<config::Site> site;                  // gives the origin's kind
 };
 
-// 0: done and sound; 1: a file that would be passed over, or lists that differ; 2: wrong words.
+// Exit status. 0: success; 1: a file that a proxy would skip, or lists that differ; 2: invalid arguments.
 int list_command(const ListFlags& flags);
 
 }  // namespace sumackeel::cli
--- a/src/cli/purge_command.cpp
+++ b/src/cli/purge_command.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kLookAgain{200};
+constexpr std::chrono::milliseconds kPollInterval{200};
 
-Json::Value progress(const std::string& address) {
-    const OpsAnswer answer = ops_call(address, "GET", "/ops/purge");
-    if (answer.status != 200) throw config::ConfigError(address + " knows no purges: [store] is off there");
-    return config::parse(answer.body, address);
+Json::Value fetch_status(const std::string& address) {
+    const AdminResponse response = call_admin_api(address, "GET", "/ops/purge");
+    if (response.status != 200) throw config::ConfigError(address + " knows no purges: [store] is off there");
+    return config::parse(response.body, address);
 }
 
 void print(const Json::Value& root) {
@@ -33,8 +33,8 @@
 
 int wait(const std::string& address, std::uint64_t number, double timeout_s) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(timeout_s);
-    for (;; std::this_thread::sleep_for(kLookAgain)) {
-        const Json::Value root = progress(address);
+    for (;; std::this_thread::sleep_for(kPollInterval)) {
+        const Json::Value root = fetch_status(address);
         bool all = true;
         for (const Json::Value& has : root["members"]) all = all && !has.isNull() && has.asUInt64() >= number;
         if (all) return fmt::print("all {} members have purge {}\n", root["members"].size(), number), 0;
@@ -44,29 +44,31 @@
 
 }  // namespace
 
-int purge_command(const std::string& address, const std::vector<std::string>& words, double timeout_s,
+int purge_command(const std::string& address, const std::vector<std::string>& arguments, double timeout_s,
                   bool json) {
-    const std::string word = words.empty() ? "status" : words.front();
-    if (word == "status" && words.size() <= 1) {
-        const Json::Value root = progress(address);
+    const std::string subcommand = arguments.empty() ? "status" : arguments.front();
+    if (subcommand == "status" && arguments.size() <= 1) {
+        const Json::Value root = fetch_status(address);
         json ? fmt::print("{}\n", root.toStyledString()) : print(root);
         return 0;
     }
-    if (word == "wait" && words.size() == 2) {
+    if (subcommand == "wait" && arguments.size() == 2) {
         std::uint64_t number = 0;
-        const std::string& text = words[1];
+        const std::string& text = arguments[1];
         if (std::from_chars(text.data(), text.data() + text.size(), number).ptr != text.data() + text.size())
             throw config::ConfigError("no purge's number: " + text);
         return wait(address, number, timeout_s);
     }
-    const bool group = word == "group" && words.size() == 2, object = word == "object" && words.size() == 3;
+    const bool group = subcommand == "group" && arguments.size() == 2,
+               object = subcommand == "object" && arguments.size() == 3;
     if (!group && !object)
         throw config::ConfigError("purge takes object GROUP ID, group NUMBER, status or wait NUMBER");
-    const OpsAnswer answer = ops_call(
-        address, "POST", "/ops/purge/" + word + "/" + words[1] + (object ? "/" + words[2] : std::string{}));
-    if (answer.status == 404) throw config::ConfigError(address + " knows no purges: [store] is off there");
-    fmt::print("{}", answer.body);
-    return answer.status == 200 ? 0 : 1;
+    const AdminResponse response = call_admin_api(
+        address, "POST",
+        "/ops/purge/" + subcommand + "/" + arguments[1] + (object ? "/" + arguments[2] : std::string{}));
+    if (response.status == 404) throw config::ConfigError(address + " knows no purges: [store] is off there");
+    fmt::print("{}", response.body);
+    return response.status == 200 ? 0 : 1;
 }
 
 }  // namespace sumackeel::cli
--- a/src/cli/purge_command.h
+++ b/src/cli/purge_command.h
@@ -1,4 +1,4 @@
-// `sumackeel purge`: purges that all proxies of a group take, whoever is told.
+// `sumackeel purge`: purges applied by all proxies of a group, whichever of them is called.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 
 namespace sumackeel::cli {
 
-// object GROUP ID, group NUMBER, status, or wait NUMBER until every member there has it. Returns the exit
-// status: 0 done, 1 no majority or not in time.
-int purge_command(const std::string& address, const std::vector<std::string>& words, double timeout_s,
+// Arguments: object GROUP ID, group NUMBER, status, or wait NUMBER (until every member has applied it).
+// Returns the exit status. 0: success; 1: no majority, or timed out.
+int purge_command(const std::string& address, const std::vector<std::string>& arguments, double timeout_s,
                   bool json);
 
 }  // namespace sumackeel::cli
--- a/src/cli/recovery_command.cpp
+++ b/src/cli/recovery_command.cpp
@@ -15,20 +15,20 @@
 
 namespace {
 
-// Each generation, the newest first; what a start would take is the first sound one.
+// Checks each generation, newest first; a start loads the first valid one.
 int verify(const std::string& folder) {
     const base::GenerationFiles files(folder, "kept-", ".sumkept");
     bool sound = false, newest = true;
     for (const std::uint64_t generation : files.generations()) {
         std::string text, fault;
-        recovery::PersistedState kept;
+        recovery::PersistedState state;
         if (base::read_regular_file(files.path_of(generation), recovery::kMaxStateBytes, text, fault) ==
             base::ReadStatus::ok)
-            fault = recovery::decode(text, kept);
+            fault = recovery::decode(text, state);
         if (fault.empty())
             fmt::print("{}: sound, written while {}, {} members, {} bans, drain {}\n",
-                       files.path_of(generation), name_of(kept.phase), kept.members.size(), kept.bans.size(),
-                       kept.draining ? "on" : "off");
+                       files.path_of(generation), name_of(state.phase), state.members.size(),
+                       state.bans.size(), state.draining ? "on" : "off");
         else
             fmt::print("{}: {}\n", files.path_of(generation), fault);
         sound = sound || (newest && fault.empty());
@@ -38,7 +38,7 @@
     return sound ? 0 : 1;
 }
 
-// At the one voter that is left, before it is started again.
+// Run on the only remaining voter, before it is restarted.
 int force(const std::string& folder) {
     const std::string fault =
         base::replace_file(folder, "force.new", "force",
@@ -59,11 +59,11 @@
     fmt::print(
         "{} of {} back; purges {}\n", root["back"].asUInt64(), root["before"].asUInt64(),
         root["sure_of_purges"].asBool() ? "surely known" : "not surely known: no copy from before the start");
-    const Json::Value& kept = root["kept"];
+    const Json::Value& state = root["kept"];
     fmt::print(
-        "kept in {}: {} bans, drain {}{}\n", kept["file"].asString(), kept["bans"].size(),
-        kept["drain"].asBool() ? "on" : "off",
-        kept["fault"].asString().empty() ? "" : "; nothing can be kept now: " + kept["fault"].asString());
+        "kept in {}: {} bans, drain {}{}\n", state["file"].asString(), state["bans"].size(),
+        state["drain"].asBool() ? "on" : "off",
+        state["fault"].asString().empty() ? "" : "; nothing can be kept now: " + state["fault"].asString());
     for (const Json::Value& one : root["set_aside"]) fmt::print("set aside: {}\n", one.asString());
     for (const Json::Value& one : root["hands"]) fmt::print("by hand: {}\n", one.asString());
     fmt::print("let through {}, turned away {}, {} of them as too large for now\n",
@@ -73,22 +73,22 @@
 
 }  // namespace
 
-int recovery_command(const std::string& address, const std::vector<std::string>& words, bool json) {
-    const std::string word = words.empty() ? "show" : words.front();
-    const bool show = word == "show", go = word == "go";
-    if (word == "verify" && words.size() == 2) return verify(words[1]);
-    if (word == "force" && words.size() == 2) return force(words[1]);
-    if (!(show || go) || words.size() != (go ? 2 : words.empty() ? 0 : 1))
+int recovery_command(const std::string& address, const std::vector<std::string>& arguments, bool json) {
+    const std::string subcommand = arguments.empty() ? "show" : arguments.front();
+    const bool show = subcommand == "show", go = subcommand == "go";
+    if (subcommand == "verify" && arguments.size() == 2) return verify(arguments[1]);
+    if (subcommand == "force" && arguments.size() == 2) return force(arguments[1]);
+    if (!(show || go) || arguments.size() != (go ? 2 : arguments.empty() ? 0 : 1))
         throw config::ConfigError("recovery takes show, go STAGE, verify FOLDER or force FOLDER");
     if (address.empty()) throw config::ConfigError("no proxy: give --at ADDRESS, its operators' address");
-    const OpsAnswer answer =
-        ops_call(address, go ? "POST" : "GET", go ? "/ops/recovery/go/" + words[1] : "/ops/recovery");
-    if (answer.status == 404) throw config::ConfigError(address + " has no [recovery]: it is off there");
-    if (go || json || answer.status != 200)
-        fmt::print("{}", answer.body);
+    const AdminResponse response = call_admin_api(address, go ? "POST" : "GET",
+                                                  go ? "/ops/recovery/go/" + arguments[1] : "/ops/recovery");
+    if (response.status == 404) throw config::ConfigError(address + " has no [recovery]: it is off there");
+    if (go || json || response.status != 200)
+        fmt::print("{}", response.body);
     else
-        print(config::parse(answer.body, address));
-    return answer.status == 200 ? 0 : 1;
+        print(config::parse(response.body, address));
+    return response.status == 200 ? 0 : 1;
 }
 
 }  // namespace sumackeel::cli
--- a/src/cli/recovery_command.h
+++ b/src/cli/recovery_command.h
@@ -1,4 +1,4 @@
-// `sumackeel recovery`: the ladder of one proxy, what it kept, and an operator's hand.
+// `sumackeel recovery`: one proxy's recovery stages and persisted state, and manual intervention.
 #pragma once
 
 #include <string>
@@ -6,8 +6,9 @@
 
 namespace sumackeel::cli {
 
-// Words: show (the default), go STAGE at a proxy; offline verify FOLDER of what is kept, and force FOLDER of
-// the agreed log. 0: done, sound; 1: no. Throws ConfigError where it can't be asked.
-int recovery_command(const std::string& address, const std::vector<std::string>& words, bool json);
+// Arguments: show (the default) and go STAGE call a proxy; verify FOLDER (persisted state) and force FOLDER
+// (agreed log) work offline. Exit status 0: success, valid; 1: refused or invalid. Throws ConfigError if the
+// call fails.
+int recovery_command(const std::string& address, const std::vector<std::string>& arguments, bool json);
 
 }  // namespace sumackeel::cli
--- a/src/cli/release_command.cpp
+++ b/src/cli/release_command.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 constexpr int kNothingToDo = 3;
-constexpr std::chrono::milliseconds kAskAgain{500};
+constexpr std::chrono::milliseconds kPollInterval{500};
 
 std::string text_of(const Json::Value& value, const char* name) {
     return value[name].asString();
 }
 
-void print_one(const Json::Value& one) {
+void print_release(const Json::Value& one) {
     fmt::print("{:>4} {} of {} from {} to {}: {}{}, wave {} of {}, since {:%Y-%m-%d %H:%M:%S} UTC ({})\n",
                one["number"].asUInt64(), text_of(one, "name"), text_of(one, "what"), text_of(one, "from"),
                text_of(one, "to"), text_of(one, "stage"),
@@ -31,7 +31,7 @@
                text_of(one, "reason"));
 }
 
-void print_sum(const Json::Value& active, const char* name) {
+void print_totals(const Json::Value& active, const char* name) {
     if (!active.isMember(name)) return;
     const Json::Value& sum = active[name];
     fmt::print("{:<8} {} members, {} requests: {} in time, {} refused, {} failed, own time {} us\n", name,
@@ -42,23 +42,23 @@
 void print_status(const Json::Value& root) {
     if (!root.isMember("active")) return fmt::print("no release is under way\n");
     const Json::Value& active = root["active"];
-    print_one(active);
+    print_release(active);
     for (const Json::Value& one : active["members"])
         fmt::print("  wave {} {:<16} {:<10} runs {}{}\n", one["wave"].asUInt64(), text_of(one, "name"),
                    text_of(one, "state"), text_of(one, "runs"),
                    one.isMember("lease") ? fmt::format(", lease {}", one["lease"].asUInt64()) : "");
-    print_sum(active, "changed"), print_sum(active, "others");
+    print_totals(active, "changed"), print_totals(active, "others");
 }
 
-// Asks until it is the member's turn, there is nothing to do, or the time is over. The proxy asked may be
-// away.
+// Polls until it is the member's turn, there is nothing to do, or the timeout expires. The proxy may be
+// unreachable meanwhile.
 int wait(const ReleaseFlags& flags) {
     if (flags.member.empty()) throw config::ConfigError("release wait needs --member NAME");
     const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(flags.timeout_s);
     std::string response, before;
-    for (;; std::this_thread::sleep_for(kAskAgain)) {
+    for (;; std::this_thread::sleep_for(kPollInterval)) {
         try {
-            const OpsAnswer answer = ops_call(
+            const AdminResponse answer = call_admin_api(
                 flags.at, "POST", "/ops/release/turn/" + flags.member + (flags.force ? "?force=1" : ""));
             response = answer.body;
             if (answer.status == 200) return fmt::print("{}", response), 0;
@@ -74,24 +74,28 @@
 }  // namespace
 
 int release_command(const ReleaseFlags& flags) {
-    const std::string word = flags.words.empty() ? "status" : flags.words.front();
-    const bool start = word == "start", look = word == "status" || word == "list";
-    const bool order = start || word == "halt" || word == "resume" || word == "back";
-    if (flags.words.size() != (start ? 2 : flags.words.empty() ? 0 : 1) || !(look || order || word == "wait"))
+    const std::string subcommand = flags.arguments.empty() ? "status" : flags.arguments.front();
+    const bool start = subcommand == "start", read_only = subcommand == "status" || subcommand == "list";
+    const bool is_action = start || subcommand == "halt" || subcommand == "resume" || subcommand == "back";
+    if (flags.arguments.size() != (start                     ? 2
+                                   : flags.arguments.empty() ? 0
+                                                             : 1) ||
+        !(read_only || is_action || subcommand == "wait"))
         throw config::ConfigError("release takes start PLAN, status, list, halt, resume, back or wait");
-    if (word == "wait") return wait(flags);
-    const OpsAnswer answer = look ? ops_call(flags.at, "GET", "/ops/release")
-                                  : ops_call(flags.at, "POST", "/ops/release/" + word,
-                                             start ? config::read_file(flags.words[1]) : "");
-    if (answer.status == 404) agreed_off(flags.at);
-    if (!look || flags.json || answer.status != 200) {
+    if (subcommand == "wait") return wait(flags);
+    const AdminResponse answer = read_only
+                                     ? call_admin_api(flags.at, "GET", "/ops/release")
+                                     : call_admin_api(flags.at, "POST", "/ops/release/" + subcommand,
+                                                      start ? config::read_file(flags.arguments[1]) : "");
+    if (answer.status == 404) throw_agreed_log_disabled(flags.at);
+    if (!read_only || flags.json || answer.status != 200) {
         fmt::print("{}", answer.body);
         return answer.status == 200 ? 0 : 1;
     }
     const Json::Value root = config::parse(answer.body, flags.at);
-    if (word == "status") return print_status(root), 0;
-    for (const Json::Value& one : root["past"]) print_one(one);
-    if (root.isMember("active")) print_one(root["active"]);
+    if (subcommand == "status") return print_status(root), 0;
+    for (const Json::Value& one : root["past"]) print_release(one);
+    if (root.isMember("active")) print_release(root["active"]);
     return 0;
 }
 
--- a/src/cli/release_command.h
+++ b/src/cli/release_command.h
@@ -1,4 +1,5 @@
-// `sumackeel release`: plans started, halted, resumed and taken back; and whose turn it is, for an installer.
+// `sumackeel release`: starts, halts, resumes and rolls back releases; tells an installer when it is its
+// turn.
 #pragma once
 
 #include <string>
@@ -7,14 +8,14 @@
 namespace sumackeel::cli {
 
 struct ReleaseFlags {
-    std::string at, member;  // member: of `wait`
-    std::vector<std::string> words;
-    double timeout_s = 3'600;  // of `wait`
+    std::string at, member;  // member: for `wait`
+    std::vector<std::string> arguments;
+    double timeout_s = 3'600;  // for `wait`
     bool force = false, json = false;
 };
 
-// 0: done, or of `wait` it is the member's turn; 1: no; 3: of `wait`, there is nothing to do. Throws
-// ConfigError.
+// Exit status. 0: success, for `wait` the member's turn; 1: refused or timed out; 3: `wait` has nothing to
+// do. Throws ConfigError.
 int release_command(const ReleaseFlags& flags);
 
 }  // namespace sumackeel::cli
--- a/src/cli/rollout_command.cpp
+++ b/src/cli/rollout_command.cpp
@@ -38,66 +38,69 @@
     if (root["leases"].empty() && root["out"].empty()) fmt::print("nobody is out\n");
 }
 
-// A plan played through with the proxies and rules as they are there now; nobody is touched.
+// Simulates a plan with the proxy's current fleet and rules; changes nothing.
 bool simulate(const std::string& path, const std::string& address, const RolloutFlags& flags) {
-    const OpsAnswer answer = ops_call(address, "GET", "/ops/rollout");
-    if (answer.status != 200) agreed_off(address);
-    const Json::Value root = config::parse(answer.body, address);
-    rollout::SimulationPlan given;
-    given.budget.max_unavailable_in_zone = root["rules"]["school_out"].asInt();
-    given.budget.max_zone_weight_share = root["rules"]["school_share"].asDouble();
-    given.budget.max_unavailable = root["rules"]["fleet_out"].asInt();
-    given.budget.min_interval_in_zone =
+    const AdminResponse response = call_admin_api(address, "GET", "/ops/rollout");
+    if (response.status != 200) throw_agreed_log_disabled(address);
+    const Json::Value root = config::parse(response.body, address);
+    rollout::SimulationPlan simulation;
+    simulation.budget.max_unavailable_in_zone = root["rules"]["school_out"].asInt();
+    simulation.budget.max_zone_weight_share = root["rules"]["school_share"].asDouble();
+    simulation.budget.max_unavailable = root["rules"]["fleet_out"].asInt();
+    simulation.budget.min_interval_in_zone =
         static_cast<base::Micros>(root["rules"]["between_s"].asDouble() * 1e6);
-    given.change = static_cast<base::Micros>(flags.change_s * 1e6);
-    given.requests_per_s = flags.requests_per_s;
+    simulation.change = static_cast<base::Micros>(flags.change_s * 1e6);
+    simulation.requests_per_s = flags.requests_per_s;
     std::vector<std::string> all;
     for (const Json::Value& one : root["proxies"]) {
-        rollout::FleetMember seen;
-        seen.name = one["member"].asString(), seen.zone = one["school"].asString();
-        seen.weight = one["weight"].asDouble(), seen.unavailable = one["out"].asBool();
-        given.fleet.push_back(seen);
-        all.push_back(seen.name);
+        rollout::FleetMember member;
+        member.name = one["member"].asString(), member.zone = one["school"].asString();
+        member.weight = one["weight"].asDouble(), member.unavailable = one["out"].asBool();
+        simulation.fleet.push_back(member);
+        all.push_back(member.name);
     }
     std::sort(all.begin(), all.end());
-    given.plan = rollout::parse_plan(config::read_file(path), path, all);
-    const rollout::SimulationResult end = rollout::simulate_release(given);
+    simulation.plan = rollout::parse_plan(config::read_file(path), path, all);
+    const rollout::SimulationResult result = rollout::simulate_release(simulation);
     const auto seconds = [](base::Micros span) { return static_cast<double>(span) / 1e6; };
-    if (end.took == 0) return fmt::print("it would not start: {}\n", end.reason), false;
-    fmt::print("{} after {:.0f} s ({}): {} of {} changed\n", name_of(end.stage), seconds(end.took),
-               end.reason, end.changed, given.plan.members.size());
+    if (result.took == 0) return fmt::print("it would not start: {}\n", result.reason), false;
+    fmt::print("{} after {:.0f} s ({}): {} of {} changed\n", name_of(result.stage), seconds(result.took),
+               result.reason, result.changed, simulation.plan.members.size());
     fmt::print(
         "worst moment: {:.0f}% of {} by weight out, {:.0f} s after the start; {} proxies out at most\n",
-        100 * end.worst_share, end.worst_zone, seconds(end.worst_at), end.most_out);
-    if (!end.waited.empty())
-        fmt::print("longest wait for a turn: {:.0f} s, {}\n", seconds(end.longest_wait), end.waited);
-    return end.stage == rollout::ReleaseStage::done;
+        100 * result.worst_share, result.worst_zone, seconds(result.worst_at), result.most_out);
+    if (!result.waited.empty())
+        fmt::print("longest wait for a turn: {:.0f} s, {}\n", seconds(result.longest_wait), result.waited);
+    return result.stage == rollout::ReleaseStage::done;
 }
 
 }  // namespace
 
-bool rollout_command(const std::string& address, const std::vector<std::string>& words,
+bool rollout_command(const std::string& address, const std::vector<std::string>& arguments,
                      const RolloutFlags& flags) {
     const bool force = flags.force, json = flags.json;
-    const std::string word = words.empty() ? "show" : words.front();
-    const bool show = word == "show", drain = word == "drain" || word == "undrain";
-    const bool explain = word == "explain", of_one = word == "down" || word == "up" || explain;
-    if (word == "simulate" && words.size() == 2) return simulate(words[1], address, flags);
-    if (words.size() > (of_one ? 2 : 1) || (of_one && words.size() < 2) || !(show || drain || of_one))
+    const std::string subcommand = arguments.empty() ? "show" : arguments.front();
+    const bool show = subcommand == "show", drain = subcommand == "drain" || subcommand == "undrain";
+    const bool explain = subcommand == "explain",
+               takes_member = subcommand == "down" || subcommand == "up" || explain;
+    if (subcommand == "simulate" && arguments.size() == 2) return simulate(arguments[1], address, flags);
+    if (arguments.size() > (takes_member ? 2 : 1) || (takes_member && arguments.size() < 2) ||
+        !(show || drain || takes_member))
         throw config::ConfigError(
             "rollout takes show, explain MEMBER, simulate PLAN, down ID, up ID, drain or undrain");
     const std::string path = show      ? "/ops/rollout"
-                             : explain ? "/ops/rollout/explain/" + words[1]
-                             : of_one  ? "/ops/pop-caches/" + word + "/" + words[1]
-                                       : std::string("/ops/drain/") + (word == "drain" ? "start" : "stop");
-    const OpsAnswer answer =
-        ops_call(address, show || explain ? "GET" : "POST", path + (force && !show ? "?force=1" : ""));
-    if (show && answer.status == 404) agreed_off(address);
-    if (!show || json || answer.status != 200)
-        fmt::print("{}", answer.body);
+                             : explain ? "/ops/rollout/explain/" + arguments[1]
+                             : takes_member
+                                 ? "/ops/pop-caches/" + subcommand + "/" + arguments[1]
+                                 : std::string("/ops/drain/") + (subcommand == "drain" ? "start" : "stop");
+    const AdminResponse response =
+        call_admin_api(address, show || explain ? "GET" : "POST", path + (force && !show ? "?force=1" : ""));
+    if (show && response.status == 404) throw_agreed_log_disabled(address);
+    if (!show || json || response.status != 200)
+        fmt::print("{}", response.body);
     else
-        print(config::parse(answer.body, address));
-    return answer.status == 200;
+        print(config::parse(response.body, address));
+    return response.status == 200;
 }
 
 }  // namespace sumackeel::cli
--- a/src/cli/rollout_command.h
+++ b/src/cli/rollout_command.h
@@ -1,4 +1,4 @@
-// `sumackeel rollout`: who is out and why, leaves asked for at one proxy, and plans rehearsed.
+// `sumackeel rollout`: shows which members are out and why, requests leaves, and simulates plans.
 #pragma once
 
 #include <string>
@@ -7,14 +7,14 @@
 namespace sumackeel::cli {
 
 struct RolloutFlags {
-    bool force = false, json = false;  // force: also where the rules say no, on record
-    double change_s = 30;              // simulate: from a turn to serving again
-    double requests_per_s = 50;        // simulate: of each proxy
+    bool force = false, json = false;  // force: overrides the rules, recorded
+    double change_s = 30;              // simulate: time from a turn to serving again
+    double requests_per_s = 50;        // simulate: per proxy
 };
 
-// Words: show (the default), explain MEMBER, simulate PLAN, down ID, up ID, drain, undrain. False: the proxy
-// said no, or the plan did not end as done. Throws ConfigError where it can't be asked.
-bool rollout_command(const std::string& address, const std::vector<std::string>& words,
+// Arguments: show (the default), explain MEMBER, simulate PLAN, down ID, up ID, drain, undrain. Returns false
+// if the proxy refuses or the simulated plan does not reach `done`. Throws ConfigError if the call fails.
+bool rollout_command(const std::string& address, const std::vector<std::string>& arguments,
                      const RolloutFlags& flags);
 
 }  // namespace sumackeel::cli
--- a/src/cli/store_command.h
+++ b/src/cli/store_command.h
@@ -1,4 +1,4 @@
-// `sumackeel store`: an operator's words to one member of the store.
+// `sumackeel store`: operator requests to one member of the replicated store.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 namespace sumackeel::cli {
 
-// Prints the answer as one line of JSON. False: it refused.
+// store_command prints the response as one line of JSON and returns false if the request was refused.
 struct StoreFlags {
-    bool sure = false;                     // get: by the leader and a majority
-    std::optional<std::uint64_t> version;  // set, remove: only if it has this one
-    double lasts_s = 0;                    // set: it ends by itself after so long; 0: it stays
+    bool sure = false;                     // get: confirmed by the leader and a majority
+    std::optional<std::uint64_t> version;  // set, remove: only at this version
+    double lasts_s = 0;                    // set: seconds until the key expires; 0: never
 };
-bool store_command(const std::string& address, const std::vector<std::string>& words,
+bool store_command(const std::string& address, const std::vector<std::string>& arguments,
                    const StoreFlags& flags);
 
 }  // namespace sumackeel::cli
