--- a/src/upstream/cache_protocol.h
+++ b/src/upstream/cache_protocol.h
@@ -37,9 +37,8 @@
   public:
     void append(std::string_view bytes);
     bool next(CacheResponse& response);
-    bool has_partial_response() const {
-        return in_body_ || position_ < buffer_.size();
-    }  // the start of a response
+    // True if only the start of a response has been received.
+    bool has_partial_response() const { return in_body_ || position_ < buffer_.size(); }
 
   private:
     bool read_header();
